--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -33,16 +33,16 @@
 pub mod attempt;
 pub mod checkup;
 pub mod choose;
+pub mod context;
 pub mod count;
-pub mod course;
 pub mod dialect;
 pub mod door;
 mod electorate;
+mod grant;
 pub mod heartbeat;
 pub mod host;
 pub mod lines;
 pub mod mesh;
-mod permit;
 pub mod pool;
 mod probe;
 pub mod progress;
@@ -128,7 +128,7 @@
     news_came: Notify,
     /// What to tell single processes, once.
     letters: Mutex<Vec<(SocketAddr, gossip::News)>>,
-    asked: Mutex<permit::Asked>,
+    grant_requests: Mutex<grant::Requests>,
     /// A configuration came into force, or a backend server became known.
     gained: Notify,
 }
@@ -169,7 +169,7 @@
             news: Mutex::default(),
             news_came: Notify::new(),
             letters: Mutex::default(),
-            asked: Mutex::default(),
+            grant_requests: Mutex::default(),
             gained: Notify::new(),
             settings,
         })
@@ -347,8 +347,8 @@
     /// Closes idle connections and forgets what has long gone. To be called each second.
     pub fn sweep(&self) {
         self.pool.prune();
-        self.tell_sent();
-        self.prune_asked();
+        self.log_sent();
+        self.prune_grants();
         let now = self.node.now();
         let mut state = self.state();
         state.register.prune(now);
--- a/src/edge/direct/account.rs
+++ b/src/edge/direct/account.rs
@@ -13,7 +13,7 @@
 
 impl Direct {
     /// Something goes to a backend server: when.
-    pub(super) fn sent(&self, life: &register::Life, kind: tally::Kind) -> Duration {
+    pub(super) fn record_sent(&self, life: &register::Life, kind: tally::Kind) -> Duration {
         let now = self.node.now();
         self.counts.sent(kind);
         self.state().tally.sent(now, life, kind);
@@ -21,7 +21,7 @@
     }
 
     /// Takes what an answer to something sent at `sent` says of its server's limit.
-    pub(super) fn take_limit(
+    pub(super) fn observe_limit(
         &self,
         life: &register::Life,
         sent: Duration,
@@ -48,25 +48,25 @@
     }
 
     /// Takes what other entries know of limits.
-    pub(super) fn take_words(&self, words: &[quota::Word]) {
+    pub(super) fn receive_limit_reports(&self, words: &[quota::Word]) {
         let now = self.node.now();
         for word in words {
             if !self.state().quotas.told(now, word) {
                 continue;
             }
-            let life = self.life_of(word.server);
+            let life = self.instance_of(word.server);
             log_event!(self.node.log(), Event::ServerLimit,
                 "server" => life.map_or(String::new(), |one| one.to_string()),
                 "change" => word.change, "limit" => shown(word.limit), "direct" => false);
         }
     }
 
-    fn life_of(&self, server: u64) -> Option<register::Life> {
+    fn instance_of(&self, server: u64) -> Option<register::Life> {
         self.state().register.life(server).cloned()
     }
 
     /// Logs what was sent lately to servers that name a limit. To be called each second.
-    pub(super) fn tell_sent(&self) {
+    pub(super) fn log_sent(&self) {
         let now = self.node.now();
         let mut state = self.state();
         state.tally.prune(now);
--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -11,8 +11,8 @@
 use tokio::time;
 
 use super::Direct;
-use super::choose::Chosen;
-use super::course::Course;
+use super::choose::Assignment;
+use super::context::Context;
 use super::dialect;
 use super::pool;
 use super::progress;
@@ -42,7 +42,7 @@
 const HUNG_UP: &str = "hung";
 
 /// A whole answer that is not a stream of events.
-pub struct Whole {
+pub struct Complete {
     /// Its head.
     pub head: response::Parts,
     /// Its body.
@@ -50,31 +50,34 @@
 }
 
 /// What an attempt came to.
-pub enum Got {
+pub enum Response {
     /// A whole answer.
-    Whole(Whole),
+    Complete(Complete),
     /// A stream, with its first events.
     Stream {
         /// Its head.
         head: Box<response::Parts>,
         /// The first events.
-        first: stream::Piece,
+        first: stream::Chunk,
         /// The rest.
         reader: Box<stream::Reader>,
     },
 }
 
 /// Why an attempt gave nothing to pass on, and what could be passed on if it was the last.
-pub struct Missed {
+pub struct Failure {
     /// How it ended.
     pub end: verdict::End,
     /// The server's own failure.
-    pub answer: Option<Whole>,
+    pub response: Option<Complete>,
 }
 
-impl From<verdict::End> for Missed {
+impl From<verdict::End> for Failure {
     fn from(end: verdict::End) -> Self {
-        Self { end, answer: None }
+        Self {
+            end,
+            response: None,
+        }
     }
 }
 
@@ -82,27 +85,27 @@
     /// Makes one attempt.
     pub async fn attempt(
         self: &Arc<Self>,
-        course: &mut Course,
+        context: &mut Context,
         after: Option<&str>,
-    ) -> Result<Got, Missed> {
-        let chosen = match self.choose_in_turn(course).await {
-            Ok(chosen) => chosen,
+    ) -> Result<Response, Failure> {
+        let assignment = match self.choose_in_turn(context).await {
+            Ok(assignment) => assignment,
             Err(end) => {
-                course.past.tried += 1;
+                context.history.tried += 1;
                 return Err(end.into());
             }
         };
-        let server = chosen.server.clone();
-        course.past.tried += 1;
-        let hopeless = self.hopeless(course, chosen.first_ms, after);
+        let server = assignment.server.clone();
+        context.history.tried += 1;
+        let hopeless = self.hopeless(context, assignment.first_ms, after);
         let outcome = tokio::select! {
             biased;
-            outcome = self.attempt_at(course, chosen, after) => outcome,
-            () = hopeless => Err(course.end_here().into()),
+            outcome = self.attempt_at(context, assignment, after) => outcome,
+            () = hopeless => Err(context.end_with_process().into()),
         };
-        if let Err(missed) = &outcome {
-            self.judge(course, &server, &missed.end);
-            course.tried.push(server.life);
+        if let Err(failure) = &outcome {
+            self.judge(context, &server, &failure.end);
+            context.failed_servers.push(server.life);
         } else {
             let now = self.node.now();
             self.state().healths.answered(now, &server.life, true);
@@ -114,16 +117,16 @@
     /// not be answered before this process ends. Its caller repeats it elsewhere in time.
     fn hopeless(
         &self,
-        course: &Course,
+        context: &Context,
         first_ms: f64,
         after: Option<&str>,
     ) -> impl Future<Output = ()> + use<> {
-        let is_sized = course.engine.is_some() && course.ask.size.is_some();
-        let may_repeat = is_sized && course.route.repeatable() && after.is_none();
-        let first = Instant::now() + patience::millis(first_ms).min(course.left());
+        let is_sized = context.engine.is_some() && context.request.size.is_some();
+        let may_repeat = is_sized && context.route.repeatable() && after.is_none();
+        let first = Instant::now() + patience::millis(first_ms).min(context.time_left());
         // Its prompt is being read: it is only given up if it is more likely cut than answered.
-        let writing = course.mean_writing(&self.state().writing);
-        let lifetime = course.lifetime.clone();
+        let writing = context.mean_write_time(&self.state().writing);
+        let lifetime = context.lifetime.clone();
         async move {
             if !may_repeat {
                 return std::future::pending().await;
@@ -141,28 +144,28 @@
 
     async fn attempt_at(
         self: &Arc<Self>,
-        course: &mut Course,
-        chosen: Chosen,
+        context: &mut Context,
+        assignment: Assignment,
         after: Option<&str>,
-    ) -> Result<Got, Missed> {
-        let server = chosen.server.clone();
-        let progress = course.progress.clone();
+    ) -> Result<Response, Failure> {
+        let server = assignment.server.clone();
+        let progress = context.progress.clone();
         progress.reach_at(progress::Stage::Reserving, &server.life);
-        let memory = self.reserve(course, &chosen).await?;
+        let memory = self.reserve(context, &assignment).await?;
         progress.reach(progress::Stage::Connecting);
-        let kept = course.route.repeatable() || KEPT_FOR_UNSAFE;
+        let kept = context.route.repeatable() || KEPT_FOR_UNSAFE;
         let conn = self.pool.conn(&server.life, server.addr, kept).await;
         let mut conn = conn.map_err(|_| verdict::End::Unsent)?;
-        let request = self.request(course, &chosen, memory.as_ref(), after);
-        let wait = doubt(course, chosen.first_ms);
+        let request = self.request(context, &assignment, memory.as_ref(), after);
+        let wait = doubt(context, assignment.first_ms);
         progress.reach(progress::Stage::Sent);
-        let sent_at = self.sent(&server.life, tally::Kind::Request);
+        let sent_at = self.record_sent(&server.life, tally::Kind::Request);
         let sent = {
             let sending = conn.send(request);
             tokio::pin!(sending);
             tokio::select! {
                 sent = &mut sending => sent,
-                why = self.give_up(course, &server, wait) => match why {
+                why = self.give_up(context, &server, wait) => match why {
                     Some(why) => Err(pool::Lost::Sent(why.to_owned())),
                     None => sending.await,
                 },
@@ -172,12 +175,12 @@
             Ok(response) => response,
             Err(pool::Lost::Unsent(_)) => return Err(verdict::End::Unsent.into()),
             Err(pool::Lost::Sent(why)) => {
-                course.past.ran += 1;
+                context.history.ran += 1;
                 return Err(lost(&why).into());
             }
         };
         let (head, body) = response.into_parts();
-        let answer = self.dialect.answer(&head);
+        let answer = self.dialect.response(&head);
         // Another life than the one expected tells nothing of this one.
         if !answer.displaced {
             let source = if answer.sealed {
@@ -185,19 +188,19 @@
             } else {
                 quota::Source::Other
             };
-            self.take_limit(&server.life, sent_at, &head.headers, source);
+            self.observe_limit(&server.life, sent_at, &head.headers, source);
         }
-        self.take_answer(course, chosen, (conn, memory), head, body, wait)
+        self.take_answer(context, assignment, (conn, memory), head, body, wait)
             .await
     }
 
     /// Sets aside what a prompt needs of its helpers' memory.
     async fn reserve(
         self: &Arc<Self>,
-        course: &Course,
-        chosen: &Chosen,
+        context: &Context,
+        assignment: &Assignment,
     ) -> Result<Option<reserve::Reservation>, verdict::End> {
-        let wanted = chosen.helpers.iter().zip(&chosen.aside);
+        let wanted = assignment.helpers.iter().zip(&assignment.reserved_tokens);
         let wanted = wanted.filter(|(_, tokens)| **tokens > 0);
         let wanted: Vec<reserve::Wanted> = wanted
             .map(|(server, tokens)| reserve::Wanted {
@@ -208,7 +211,7 @@
         if wanted.is_empty() {
             return Ok(None);
         }
-        let name = format!("{}-{}", course.ask.id, course.past.tried);
+        let name = format!("{}-{}", context.request.id, context.history.tried);
         let memory = reserve::Reservation::take(self, &name, wanted).await;
         // Without it nothing was sent: another may have taken the memory meanwhile.
         memory.map(Some).ok_or(verdict::End::NotRun {
@@ -219,12 +222,12 @@
 
     fn request(
         &self,
-        course: &Course,
-        chosen: &Chosen,
+        context: &Context,
+        assignment: &Assignment,
         memory: Option<&reserve::Reservation>,
         after: Option<&str>,
     ) -> http::Request<Full<Bytes>> {
-        let helpers: Vec<dialect::Helper> = chosen
+        let helpers: Vec<dialect::Helper> = assignment
             .helpers
             .iter()
             .map(|one| dialect::Helper {
@@ -235,34 +238,34 @@
             })
             .collect();
         let attempt = dialect::Attempt {
-            id: &course.ask.id,
-            server: &chosen.server,
-            left: course.left(),
-            workspace: course.workspace.as_deref(),
-            priority: course.priority,
+            id: &context.request.id,
+            server: &assignment.server,
+            time_left: context.time_left(),
+            workspace: context.workspace.as_deref(),
+            priority: context.priority,
             helpers: &helpers,
-            after: after.or(course.ask.after.as_deref()),
+            last_event_id: after.or(context.request.last_event_id.as_deref()),
         };
-        let mut request = http::Request::new(Full::new(course.body.clone()));
-        *request.method_mut() = course.head.method.clone();
-        *request.uri_mut() = origin_form(&course.head.uri);
-        *request.headers_mut() = self.dialect.attempt(&course.head, &attempt);
+        let mut request = http::Request::new(Full::new(context.body.clone()));
+        *request.method_mut() = context.head.method.clone();
+        *request.uri_mut() = origin_form(&context.head.uri);
+        *request.headers_mut() = self.dialect.attempt_headers(&context.head, &attempt);
         request
     }
 
     async fn take_answer(
         self: &Arc<Self>,
-        course: &mut Course,
-        chosen: Chosen,
+        context: &mut Context,
+        assignment: Assignment,
         means: (pool::Conn, Option<reserve::Reservation>),
         head: response::Parts,
         body: body::Incoming,
         wait: patience::Doubt,
-    ) -> Result<Got, Missed> {
-        let answer = self.dialect.answer(&head);
+    ) -> Result<Response, Failure> {
+        let answer = self.dialect.response(&head);
         if answer.not_run || answer.displaced {
             if answer.displaced && answer.at_fault.is_none() {
-                self.displaced(&chosen.server.life);
+                self.displaced(&assignment.server.life);
             }
             return Err(verdict::End::NotRun {
                 at_fault: answer.at_fault,
@@ -270,46 +273,49 @@
             }
             .into());
         }
-        course.past.ran += 1;
-        let other = answer.id.as_deref().is_some_and(|id| id != course.ask.id);
+        context.history.ran += 1;
+        let other = answer
+            .id
+            .as_deref()
+            .is_some_and(|id| id != context.request.id);
         let success = head.status.is_success();
         if other || answer.encoded || (success && !answer.sealed) {
             return Err(verdict::End::Broken.into());
         }
-        let is_stream = course.route.kind == catalog::Kind::Stream && success;
-        let mut reader = stream::Reader::new(self, chosen, means, body, &answer);
+        let is_stream = context.route.kind == catalog::Kind::Stream && success;
+        let mut reader = stream::Reader::new(self, assignment, means, body, &answer);
         if !is_stream {
-            let whole = reader.collect(MOST_WHOLE, course.left()).await;
+            let whole = reader.collect(MOST_WHOLE, context.time_left()).await;
             let body = whole.ok_or(verdict::End::Broken)?;
-            let whole = Whole { head, body };
+            let whole = Complete { head, body };
             return if whole.head.status.is_server_error() {
                 let end = verdict::End::Failed;
-                let answer = Some(whole);
-                Err(Missed { end, answer })
+                let response = Some(whole);
+                Err(Failure { end, response })
             } else {
-                Ok(Got::Whole(whole))
+                Ok(Response::Complete(whole))
             };
         }
         let next = loop {
-            let leaves = || self.may_move(course);
+            let leaves = || self.may_move(context);
             let got = time::timeout(wait.hung, reader.next(wait.quiet, leaves)).await;
             match got {
                 Ok(next) => break next,
-                Err(_) if self.had_better_move(course, &reader.server.life) => {
+                Err(_) if self.should_move(context, &reader.server.life) => {
                     return Err(verdict::End::Slow.into());
                 }
                 Err(_) => {}
             }
         };
         match next {
-            stream::Next::Piece(first) => Ok(Got::Stream {
+            stream::Next::Chunk(first) => Ok(Response::Stream {
                 head: Box::new(head),
                 first,
                 reader: Box::new(reader),
             }),
             stream::Next::End => {
                 let body = Bytes::new();
-                Ok(Got::Whole(Whole { head, body }))
+                Ok(Response::Complete(Complete { head, body }))
             }
             stream::Next::Lost(end) => Err(end.into()),
         }
@@ -319,14 +325,14 @@
     /// `None` if it has to stay.
     async fn give_up(
         &self,
-        course: &Course,
+        context: &Context,
         server: &register::Record,
         wait: patience::Doubt,
     ) -> Option<&'static str> {
         let hung = async {
             loop {
                 time::sleep(wait.hung).await;
-                if self.has_better(course, &server.life) {
+                if self.has_better_server(context, &server.life) {
                     return;
                 }
             }
@@ -336,31 +342,36 @@
             () = hung => HUNG_UP,
         };
         // It has been sent, so it counts as one that may have run.
-        let mut past = course.past;
-        past.ran += 1;
-        let may = verdict::again(&course.route, &verdict::End::Slow, past, course.left());
-        (may && self.spend(&course.service)).then_some(why)
+        let mut history = context.history;
+        history.ran += 1;
+        let may = verdict::again(
+            &context.route,
+            &verdict::End::Slow,
+            history,
+            context.time_left(),
+        );
+        (may && self.spend_retry(&context.service)).then_some(why)
     }
 
     /// Draws conclusions from an attempt that failed.
-    fn judge(self: &Arc<Self>, course: &Course, server: &register::Record, end: &verdict::End) {
+    fn judge(self: &Arc<Self>, context: &Context, server: &register::Record, end: &verdict::End) {
         let now = self.node.now();
-        self.counts.attempt(&course.service, end_name(end));
+        self.counts.attempt(&context.service, end_name(end));
         if self.lines.allow(Event::AttemptEnded, now) {
-            log_event!(self.node.log(), Event::AttemptEnded, "request" => &course.ask.id,
-                "server" => &server.life, "end" => format!("{end:?}"), "ran" => course.past.ran,
-                "tried" => course.past.tried, "left_ms" => course.left().as_millis() as u64);
+            log_event!(self.node.log(), Event::AttemptEnded, "request" => &context.request.id,
+                "server" => &server.life, "end" => format!("{end:?}"), "ran" => context.history.ran,
+                "tried" => context.history.tried, "left_ms" => context.time_left().as_millis() as u64);
         }
-        if verdict::suspects(&course.route, end) {
+        if verdict::suspects(&context.route, end) {
             self.suspect(&server.life);
         }
         match end {
             verdict::End::Unsent => self.missed(&server.life, "no connection"),
             verdict::End::Silent => {
                 self.missed(&server.life, "silent");
-                self.died(course.fingerprint, &server.life);
+                self.died(context.fingerprint, &server.life);
             }
-            verdict::End::Broken => self.look_after(course.fingerprint, server.clone()),
+            verdict::End::Broken => self.look_after(context.fingerprint, server.clone()),
             verdict::End::Slow | verdict::End::Failed => {
                 self.state().healths.answered(now, &server.life, false);
             }
@@ -374,12 +385,17 @@
 }
 
 /// How long an attempt waits before it doubts its server.
-fn doubt(course: &Course, first_ms: f64) -> patience::Doubt {
-    let alone = course.engine.zip(course.ask.size);
+fn doubt(context: &Context, first_ms: f64) -> patience::Doubt {
+    let alone = context.engine.zip(context.request.size);
     let alone_ms = alone.map_or(0.0, |(engine, size)| engine.read_ms(size.prompt, 1));
     let can_move =
-        course.route.repeatable() && course.past.ran + 1 < course.route.most_servers.max(1);
-    patience::Doubt::new(&course.route, can_move, (first_ms, alone_ms), course.left())
+        context.route.repeatable() && context.history.ran + 1 < context.route.most_servers.max(1);
+    patience::Doubt::new(
+        &context.route,
+        can_move,
+        (first_ms, alone_ms),
+        context.time_left(),
+    )
 }
 
 /// What the end of a sent attempt without an answer was.
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -8,8 +8,8 @@
 use tokio::time;
 
 use super::Direct;
-use super::course::Course;
-use super::permit::Occasion;
+use super::context::Context;
+use super::grant::Reason;
 use super::progress;
 use super::standing;
 use super::turn;
@@ -40,7 +40,7 @@
 /// Where a request goes, if anywhere yet.
 enum Choice {
     /// There.
-    Now(Box<Chosen>),
+    Now(Box<Assignment>),
     /// It waits for its turn.
     Later,
     /// It waits for memory, or for more servers: what is free now would read it too slowly.
@@ -55,20 +55,20 @@
 }
 
 /// A request's place on the board, given back when it is dropped.
-pub struct Seat {
+pub struct Guard {
     direct: Arc<Direct>,
     ticket: board::Ticket,
 }
 
-impl Seat {
+impl Guard {
     /// The first event came.
-    pub fn wrote(&self) {
+    pub fn start_writing(&self) {
         self.direct.state().board.wrote(self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
 
-impl Drop for Seat {
+impl Drop for Guard {
     fn drop(&mut self) {
         let now = self.direct.node.now();
         self.direct.state().board.leave(now, self.ticket);
@@ -77,83 +77,84 @@
 }
 
 /// Where an attempt goes.
-pub struct Chosen {
+pub struct Assignment {
     /// The server.
     pub server: register::Record,
     /// Servers that help it read.
     pub helpers: Vec<register::Record>,
     /// Tokens of memory to set aside at each of those.
-    pub aside: Vec<u64>,
+    pub reserved_tokens: Vec<u64>,
     /// Milliseconds until the first event, as predicted. 0: not predicted.
     pub first_ms: f64,
     /// Its place on the board.
-    pub seat: Seat,
+    pub guard: Guard,
 }
 
 impl Direct {
     /// Chooses servers for a request and takes a place on the board there.
-    fn choose(self: &Arc<Self>, course: &Course, reading: Reading) -> Choice {
+    fn choose(self: &Arc<Self>, context: &Context, reading: Reading) -> Choice {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { records, part } = standing::candidates(&state, now, course);
+        let standing::Candidates { records, part } = standing::candidates(&state, now, context);
         if records.is_empty() {
             return Choice::Nowhere;
         }
         let servers = self.servers(&mut state, now, &records, part);
         let any_waits = state.board.any_waits(now);
         let placed = match reading {
-            Reading::Lane => locate(course, &servers, any_waits),
-            Reading::Beside => beside(course, &servers, any_waits),
+            Reading::Lane => locate(context, &servers, any_waits),
+            Reading::Beside => beside(context, &servers, any_waits),
         };
         let Some(place) = placed else {
             return Choice::NotNow;
         };
-        if !course.ends_in_life(place.first_ms, course.writing(&state.writing)) {
+        if !context.completes_before_exit(place.first_ms, context.write_time_bound(&state.writing))
+        {
             return Choice::Ending;
         }
         if place.delay_ms > 0.0 {
             return Choice::Later;
         }
-        if !course.allows(&place) {
+        if !context.meets_deadline_at(&place) {
             return Choice::NotNow;
         }
-        if course.may_hold() && place.is_full(course.route.objective) {
+        if context.may_wait_at_entry() && place.is_full(context.route.objective) {
             return Choice::Full;
         }
         Choice::Now(Box::new(
-            self.seat(state, course, &records, &servers, place),
+            self.assign(state, context, &records, &servers, place),
         ))
     }
 
     /// Takes a request's place on the board.
-    pub(super) fn seat(
+    pub(super) fn assign(
         self: &Arc<Self>,
         mut state: MutexGuard<'_, super::State>,
-        course: &Course,
+        context: &Context,
         records: &[register::Record],
         servers: &[place::Server],
         place: place::Place,
-    ) -> Chosen {
+    ) -> Assignment {
         let now = self.node.now();
-        let prompt = course.ask.size.map_or(0, |size| size.prompt);
+        let prompt = context.request.size.map_or(0, |size| size.prompt);
         let part = |(at, memory): (usize, u64)| board::Part {
             server: servers[at].key,
             read_ms: place.part_ms,
             memory,
         };
         let aside: u64 = place.aside.iter().sum();
-        let own = (prompt + course.expected_answer()).saturating_sub(aside);
+        let own = (prompt + context.expected_answer()).saturating_sub(aside);
         let helpers = place
             .helpers
             .iter()
             .copied()
             .zip(place.aside.iter().copied());
-        let chosen = std::iter::once((place.first, own)).chain(helpers);
+        let assignment = std::iter::once((place.first, own)).chain(helpers);
         let claim = board::Claim {
-            parts: chosen.map(part).collect(),
+            parts: assignment.map(part).collect(),
             prompt,
-            answer: course.expected_answer(),
-            bound_ms: course.route.pause.map_or(0, |one| one.as_millis() as u32),
+            answer: context.expected_answer(),
+            bound_ms: context.route.pause.map_or(0, |one| one.as_millis() as u32),
             is_long: place.takes_turn,
             reads: (now, now + patience::millis(place.first_ms)),
         };
@@ -161,57 +162,57 @@
         let ticket = state.board.enter(now, claim);
         drop(state);
         self.loads_changed.notify_one();
-        let seat = Seat {
+        let guard = Guard {
             direct: Arc::clone(self),
             ticket,
         };
         let load = servers[place.first].load;
         let limit = limit.map_or(0.0, quota::Rate::per_second);
         if self.lines.allow(Event::RequestPlaced, now) {
-            log_event!(self.node.log(), Event::RequestPlaced, "request" => &course.ask.id,
-                "route" => &course.route.name, "config" => course.version,
+            log_event!(self.node.log(), Event::RequestPlaced, "request" => &context.request.id,
+                "route" => &context.route.name, "config" => context.version,
                 "server" => &records[place.first].life, "prompt" => prompt, "aside" => place.aside.iter().sum::<u64>(),
                 "helpers" => place.helpers.iter().map(|at| records[*at].life.to_string()).collect::<Vec<_>>().join(","), "first_ms" => place.first_ms as u64,
                 "writers" => load.writers, "readers" => load.readers, "backlog_ms" => load.backlog_ms,
-                "limit" => limit, "objective_ms" => course.route.objective.as_millis() as u64,
-                "bound_ms" => course.route.pause.map_or(0, |one| one.as_millis() as u64),
-                "tried" => course.past.tried, "waited_ms" => course.began.elapsed().as_millis() as u64,
-                "left_ms" => course.left().as_millis() as u64);
+                "limit" => limit, "objective_ms" => context.route.objective.as_millis() as u64,
+                "bound_ms" => context.route.pause.map_or(0, |one| one.as_millis() as u64),
+                "tried" => context.history.tried, "waited_ms" => context.began.elapsed().as_millis() as u64,
+                "left_ms" => context.time_left().as_millis() as u64);
         }
-        Chosen {
+        Assignment {
             server: records[place.first].clone(),
             helpers: place
                 .helpers
                 .iter()
                 .map(|at| records[*at].clone())
                 .collect(),
-            aside: place.aside,
+            reserved_tokens: place.aside,
             first_ms: place.first_ms,
-            seat,
+            guard,
         }
     }
 
     /// Whether a request that waits for `server`, which is there, had better go elsewhere.
-    pub(super) fn has_better(&self, course: &Course, server: &register::Life) -> bool {
+    pub(super) fn has_better_server(&self, context: &Context, server: &register::Life) -> bool {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { mut records, part } = standing::candidates(&state, now, course);
+        let standing::Candidates { mut records, part } = standing::candidates(&state, now, context);
         records.retain(|one| one.life != *server);
         if records.is_empty() {
             return false;
         }
         let servers = self.servers(&mut state, now, &records, part);
         let any_waits = state.board.any_waits(now);
-        let writing = course.writing(&state.writing);
+        let writing = context.write_time_bound(&state.writing);
         drop(state);
-        let place = locate(course, &servers, any_waits);
+        let place = locate(context, &servers, any_waits);
         let is_better = place.is_some_and(|one| {
-            one.is_worth_moving(course.route.objective)
-                && course.ends_in_life(one.first_ms, writing)
+            one.is_worth_moving(context.route.objective)
+                && context.completes_before_exit(one.first_ms, writing)
         });
         if !is_better && self.lines.allow(Event::RequestStays, now) {
-            log_event!(self.node.log(), Event::RequestStays, "request" => &course.ask.id,
-                "server" => server, "others" => servers.len(), "left_ms" => course.left().as_millis() as u64);
+            log_event!(self.node.log(), Event::RequestStays, "request" => &context.request.id,
+                "server" => server, "others" => servers.len(), "left_ms" => context.time_left().as_millis() as u64);
         }
         is_better
     }
@@ -241,19 +242,19 @@
     }
 
     /// Whether a long prompt that has no place is told to come back, since too many wait.
-    fn turns_away(&self, course: &Course) -> bool {
-        let Some(engine) = course.engine.filter(|_| course.past.tried == 0) else {
+    fn turns_away(&self, context: &Context) -> bool {
+        let Some(engine) = context.engine.filter(|_| context.history.tried == 0) else {
             return false;
         };
-        let need = course.need();
+        let need = context.need();
         if !place::is_long(&engine, &need) {
             return false;
         }
         let now = self.node.now();
-        let objective = course.route.objective;
+        let objective = context.route.objective;
         let mut state = self.state();
         state.observe_pressure(now);
-        let servers = state.register.ready(now, &course.service).count();
+        let servers = state.register.ready(now, &context.service).count();
         let away = state
             .pressure
             .turns_away(&engine, &need, objective, servers);
@@ -262,7 +263,7 @@
             return false;
         };
         if self.lines.allow(Event::RequestAway, now) {
-            log_event!(self.node.log(), Event::RequestAway, "request" => &course.ask.id,
+            log_event!(self.node.log(), Event::RequestAway, "request" => &context.request.id,
                 "prompt" => need.prompt, "level" => away.level, "servers" => servers,
                 "part_ms" => away.part_ms as u64);
         }
@@ -270,58 +271,58 @@
     }
 
     /// Whether a request that has no place yet may have one in time before this process ends.
-    fn may_wait_here(&self, course: &Course) -> bool {
-        let first_ms = course.fastest_ms();
-        let writing = course.writing(&self.state().writing);
-        course.ends_in_life(first_ms, writing)
+    fn may_wait_here(&self, context: &Context) -> bool {
+        let first_ms = context.min_first_ms();
+        let writing = context.write_time_bound(&self.state().writing);
+        context.completes_before_exit(first_ms, writing)
     }
 
     /// Chooses servers for a request, once it is its turn and there is memory for it.
     pub(super) async fn choose_in_turn(
         self: &Arc<Self>,
-        course: &Course,
-    ) -> Result<Chosen, verdict::End> {
-        course.progress.reach(progress::Stage::Waiting);
-        let is_long = course
+        context: &Context,
+    ) -> Result<Assignment, verdict::End> {
+        context.progress.reach(progress::Stage::Waiting);
+        let is_long = context
             .engine
-            .is_some_and(|one| place::is_long(&one, &course.need()));
-        if is_long && let Choice::Now(chosen) = self.choose(course, Reading::Beside) {
-            return Ok(*chosen);
+            .is_some_and(|one| place::is_long(&one, &context.need()));
+        if is_long && let Choice::Now(assignment) = self.choose(context, Reading::Beside) {
+            return Ok(*assignment);
         }
-        if let Ok(Some(chosen)) = self.choose_limited(course, Occasion::Spare).await {
-            return Ok(chosen);
+        if let Ok(Some(assignment)) = self.choose_limited(context, Reason::HasCapacity).await {
+            return Ok(assignment);
         }
         let mut turn = turn::Turn::new(self);
         loop {
-            if self.turns_away(course) {
+            if self.turns_away(context) {
                 return Err(verdict::End::Away);
             }
-            if turn.has_come(course) {
-                match self.choose(course, Reading::Lane) {
-                    Choice::Now(chosen) => return Ok(*chosen),
+            if turn.has_come(context) {
+                match self.choose(context, Reading::Lane) {
+                    Choice::Now(assignment) => return Ok(*assignment),
                     Choice::Ending => return Err(verdict::End::Ending),
-                    Choice::Nowhere => return self.choose_only(course).await,
-                    Choice::Later => turn.wait(course),
+                    Choice::Nowhere => return self.choose_only(context).await,
+                    Choice::Later => turn.wait(context),
                     Choice::NotNow => turn.leave(),
-                    Choice::Full if !self.may_wait_here(course) => {
+                    Choice::Full if !self.may_wait_here(context) => {
                         return Err(verdict::End::Ending);
                     }
                     Choice::Full => {
-                        let limited = self.choose_limited(course, Occasion::Full);
-                        if let Ok(Some(chosen)) = limited.await {
-                            return Ok(chosen);
+                        let limited = self.choose_limited(context, Reason::OthersFull);
+                        if let Ok(Some(assignment)) = limited.await {
+                            return Ok(assignment);
                         }
-                        time::sleep(full_pause(course)).await;
+                        time::sleep(full_pause(context)).await;
                         continue;
                     }
                 }
             } else {
-                turn.wait(course);
+                turn.wait(context);
             }
-            if !course.may_wait() {
+            if !context.may_wait_for_server() {
                 return Err(verdict::End::Unsent);
             }
-            if !self.may_wait_here(course) {
+            if !self.may_wait_here(context) {
                 return Err(verdict::End::Ending);
             }
             time::sleep(turn.pause()).await;
@@ -329,10 +330,10 @@
     }
 
     /// Chooses a server where there are none but those that name a limit, if any.
-    async fn choose_only(self: &Arc<Self>, course: &Course) -> Result<Chosen, verdict::End> {
-        match self.choose_limited(course, Occasion::Only).await {
-            Ok(Some(chosen)) => Ok(chosen),
-            Ok(None) if course.lifetime.is_ending() => Err(verdict::End::Ending),
+    async fn choose_only(self: &Arc<Self>, context: &Context) -> Result<Assignment, verdict::End> {
+        match self.choose_limited(context, Reason::OnlyLimited).await {
+            Ok(Some(assignment)) => Ok(assignment),
+            Ok(None) if context.lifetime.is_ending() => Err(verdict::End::Ending),
             Ok(None) => Err(verdict::End::Unsent),
             Err(come_back) => Err(verdict::End::Limited(come_back)),
         }
@@ -341,8 +342,8 @@
 
 /// Pause before a request looks again for a server that is not full: who is late already leaves
 /// what becomes free to those that are not.
-fn full_pause(course: &Course) -> Duration {
-    if course.began.elapsed() > course.route.objective {
+fn full_pause(context: &Context) -> Duration {
+    if context.began.elapsed() > context.route.objective {
         FULL_PAUSE_LATE
     } else {
         FULL_PAUSE
@@ -350,27 +351,27 @@
 }
 
 /// Finds the place of a long prompt among `servers` that have room for it beside their writers.
-fn beside(course: &Course, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
-    let engine = course.engine.as_ref()?;
-    place::without_turn(engine, &course.need(), servers, any_waits)
+fn beside(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
+    let engine = context.engine.as_ref()?;
+    place::without_turn(engine, &context.need(), servers, any_waits)
 }
 
 /// Finds the place of a request among `servers`.
-fn locate(course: &Course, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
+fn locate(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
     let alone = |first: usize, first_ms: f64| place::Place {
         first_ms,
         part_ms: first_ms,
         ..lone::plain(first)
     };
-    let (Some(engine), Some(size)) = (&course.engine, course.ask.size) else {
-        return place::plain(servers, course.need().draw).map(|at| alone(at, 0.0));
+    let (Some(engine), Some(size)) = (&context.engine, context.request.size) else {
+        return place::plain(servers, context.need().draw).map(|at| alone(at, 0.0));
     };
-    let need = course.need();
+    let need = context.need();
     let placed = place::engine(engine, &need, servers, any_waits);
     // Nowhere is memory as far as known. For a short prompt the servers themselves know better.
     let is_short = size.prompt <= engine.usual_prompt;
     placed.or_else(|| {
-        let at = place::plain(servers, course.need().draw).filter(|_| is_short)?;
+        let at = place::plain(servers, context.need().draw).filter(|_| is_short)?;
         Some(alone(at, engine.read_ms(size.prompt, 1)))
     })
 }
--- a/src/edge/direct/course.rs
+++ b/src/edge/direct/context.rs
@@ -20,9 +20,9 @@
 use crate::wire::id;
 
 /// A caller's request on its way.
-pub struct Course {
+pub struct Context {
     /// What the caller asks.
-    pub ask: dialect::Ask,
+    pub request: dialect::Request,
     /// Its head, as it came.
     pub head: request::Parts,
     /// Its body.
@@ -40,11 +40,11 @@
     /// When it came.
     pub began: Instant,
     /// When its time is over.
-    pub end: Instant,
+    pub deadline: Instant,
     /// What it has behind it.
-    pub past: verdict::Past,
+    pub history: verdict::Past,
     /// Servers at which it failed.
-    pub tried: Vec<register::Life>,
+    pub failed_servers: Vec<register::Life>,
     /// Equal for equal requests.
     pub fingerprint: id::Fingerprint,
     /// Version of the configuration that it follows.
@@ -55,50 +55,50 @@
     pub lifetime: lifetime::Lifetime,
 }
 
-impl Course {
+impl Context {
     /// Time that is left of its caller's time and of this process's.
-    pub fn left(&self) -> Duration {
-        let own = self.own_left();
+    pub fn time_left(&self) -> Duration {
+        let own = self.caller_time_left();
         self.lifetime.left().map_or(own, |life| own.min(life))
     }
 
     /// Time that is left of its caller's time.
-    fn own_left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now())
+    fn caller_time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// How it ends if it is given up since this process ends.
-    pub fn end_here(&mut self) -> verdict::End {
-        if self.progress.mark().stage == progress::Stage::Sent {
-            self.past.ran += 1;
+    pub fn end_with_process(&mut self) -> verdict::End {
+        if self.progress.lock().stage == progress::Stage::Sent {
+            self.history.ran += 1;
         }
         verdict::End::Ending
     }
 
     /// Time within which the rest of its answer is most likely written.
-    pub fn writing(&self, known: &writing::Writing) -> Duration {
-        known.most(&self.service, self.modelled_writing())
+    pub fn write_time_bound(&self, known: &writing::Writing) -> Duration {
+        known.most(&self.service, self.modelled_write_time())
     }
 
     /// The same on average.
-    pub fn mean_writing(&self, known: &writing::Writing) -> Duration {
-        known.mean(&self.service, self.modelled_writing())
+    pub fn mean_write_time(&self, known: &writing::Writing) -> Duration {
+        known.mean(&self.service, self.modelled_write_time())
     }
 
     /// Time to write the rest of its answer, by the time model.
-    fn modelled_writing(&self) -> Duration {
-        let (Some(engine), Some(size)) = (&self.engine, self.ask.size) else {
+    fn modelled_write_time(&self) -> Duration {
+        let (Some(engine), Some(size)) = (&self.engine, self.request.size) else {
             return Duration::ZERO;
         };
-        let written = u64::from(self.progress.mark().events) * u64::from(engine.stride);
+        let written = u64::from(self.progress.lock().events) * u64::from(engine.stride);
         let rest = self.expected_answer().saturating_sub(written);
         patience::writing(engine, size.prompt, rest)
     }
 
     /// Whether its answer would be whole before this process ends, if its first event comes after
     /// `first_ms`. A call is expected to take no longer than its objective.
-    pub fn ends_in_life(&self, first_ms: f64, writing: Duration) -> bool {
-        let first = match self.engine.zip(self.ask.size) {
+    pub fn completes_before_exit(&self, first_ms: f64, writing: Duration) -> bool {
+        let first = match self.engine.zip(self.request.size) {
             Some(_) => patience::millis(first_ms),
             None => self.route.objective,
         };
@@ -106,13 +106,13 @@
     }
 
     /// Whether a request that has no place yet may have one in time.
-    pub fn may_wait(&self) -> bool {
-        let engine = self.engine.filter(|_| self.ask.size.is_some());
+    pub fn may_wait_for_server(&self) -> bool {
+        let engine = self.engine.filter(|_| self.request.size.is_some());
         engine.is_some_and(|engine| self.wait().may_go_on(&engine, &self.need()))
     }
 
     /// Whether a long prompt would be answered in time at `place`.
-    pub fn allows(&self, place: &place::Place) -> bool {
+    pub fn meets_deadline_at(&self, place: &place::Place) -> bool {
         let need = self.need();
         let engine = self.engine.filter(|one| place::is_long(one, &need));
         let first = patience::millis(place.first_ms);
@@ -120,43 +120,43 @@
     }
 
     /// Least milliseconds to its first event.
-    pub fn fastest_ms(&self) -> f64 {
-        let engine = self.engine.filter(|_| self.ask.size.is_some());
+    pub fn min_first_ms(&self) -> f64 {
+        let engine = self.engine.filter(|_| self.request.size.is_some());
         let fastest = engine.map(|engine| patience::fastest(&engine, &self.need()));
         fastest.unwrap_or_default().as_secs_f64() * 1e3
     }
 
     /// Whether it may wait at the entry while all servers are full.
-    pub fn may_hold(&self) -> bool {
-        let engine = self.engine.filter(|_| self.ask.size.is_some());
-        self.past.tried == 0
+    pub fn may_wait_at_entry(&self) -> bool {
+        let engine = self.engine.filter(|_| self.request.size.is_some());
+        self.history.tried == 0
             && engine.is_some_and(|engine| self.wait().may_hold(&engine, &self.need()))
     }
 
     /// How long it has waited for its first event, and may.
     pub fn wait(&self) -> patience::Wait {
-        let wait = patience::Wait::new(&self.route, self.began.elapsed(), self.own_left());
+        let wait = patience::Wait::new(&self.route, self.began.elapsed(), self.caller_time_left());
         wait.within(self.lifetime.left())
     }
 
     /// What placing has to know of a request.
     pub fn need(&self) -> place::Need {
         place::Need {
-            prompt: self.ask.size.map_or(0, |size| size.prompt),
+            prompt: self.request.size.map_or(0, |size| size.prompt),
             answer: self.expected_answer(),
             aim: self.route.objective.saturating_sub(self.began.elapsed()),
             bound_ms: self.route.pause.map_or(0, |one| one.as_millis() as u32),
-            draw: board::key(&self.ask.id),
+            draw: board::key(&self.request.id),
         }
     }
 
     /// Tokens that an answer is expected to have: the caller's hint, within what it allows.
     pub fn expected_answer(&self) -> u64 {
-        let Some(size) = self.ask.size else {
+        let Some(size) = self.request.size else {
             return 0;
         };
         size.answer_hint
-            .unwrap_or(size.answer_most)
-            .min(size.answer_most)
+            .unwrap_or(size.max_answer)
+            .min(size.max_answer)
     }
 }
--- a/src/edge/direct/dialect.rs
+++ b/src/edge/direct/dialect.rs
@@ -17,26 +17,26 @@
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Most tokens of the answer.
-    pub answer_most: u64,
+    pub max_answer: u64,
     /// Tokens that the caller expects of the answer. Often far off.
     pub answer_hint: Option<u64>,
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// Id of this attempt of the caller.
     pub id: String,
     /// Host that it is for.
     pub host: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
     /// Sizes, if it is for a model.
     pub size: Option<Size>,
     /// Last event that the caller has of a stream that it goes on with.
-    pub after: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// A server that reads a part of the prompt, with the reservation of its memory.
@@ -56,7 +56,7 @@
     /// The server it is for.
     pub server: &'a register::Record,
     /// Time that is left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Workspace of the caller.
     pub workspace: Option<&'a str>,
     /// Rank, 0 first.
@@ -64,12 +64,12 @@
     /// Servers that help to read.
     pub helpers: &'a [Helper],
     /// Last event that was passed on.
-    pub after: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
 
 /// What the head of a backend server's answer says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Request that it answers.
     pub id: Option<String>,
     /// Whether it bears the server's signature.
@@ -83,7 +83,7 @@
     /// Whether the body is encoded, which nobody asked for.
     pub encoded: bool,
     /// Time that the connection may be idle.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Whether the connection ends with this answer.
     pub closes: bool,
 }
@@ -98,7 +98,7 @@
     /// Factor by which it is slower than its model.
     pub pace: f64,
     /// Its start in milliseconds since 1970, if it tells.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// What becomes of a reservation.
@@ -115,13 +115,13 @@
 /// The language of a platform.
 pub trait Dialect: Send + Sync + 'static {
     /// Decodes a caller's request.
-    fn ask(&self, head: &request::Parts) -> Ask;
+    fn request(&self, head: &request::Parts) -> Request;
 
     /// Headers with which a caller's request goes to a backend server.
-    fn attempt(&self, head: &request::Parts, attempt: &Attempt<'_>) -> HeaderMap;
+    fn attempt_headers(&self, head: &request::Parts, attempt: &Attempt<'_>) -> HeaderMap;
 
     /// Decodes the head of a backend server's answer.
-    fn answer(&self, head: &response::Parts) -> Answer;
+    fn response(&self, head: &response::Parts) -> Response;
 
     /// What the headers of any answer of a backend server say of the limit on what it takes.
     fn limit(&self, headers: &HeaderMap) -> quota::Named;
--- a/src/edge/direct/permit.rs
+++ b/src/edge/direct/grant.rs
@@ -11,8 +11,8 @@
 
 use super::Direct;
 use super::State;
-use super::choose::Chosen;
-use super::course::Course;
+use super::choose::Assignment;
+use super::context::Context;
 use super::standing;
 use crate::direct::board;
 use crate::direct::gossip;
@@ -46,18 +46,18 @@
 
 /// Why a request would go to a server that names a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Occasion {
+pub(super) enum Reason {
     /// The server takes it at once, and it is on time there.
-    Spare,
+    HasCapacity,
     /// The others are full.
-    Full,
+    OthersFull,
     /// There is no other.
-    Only,
+    OnlyLimited,
 }
 
 /// What is asked of other processes.
 #[derive(Default)]
-pub(super) struct Asked {
+pub(super) struct Requests {
     last: u64,
     pending: HashMap<u64, oneshot::Sender<gossip::Grant>>,
     /// Until when a process that did not answer is passed over.
@@ -78,26 +78,26 @@
     /// none of them would do. `Err`: they take no more now; when to come back.
     pub(super) async fn choose_limited(
         self: &Arc<Self>,
-        course: &Course,
-        occasion: Occasion,
-    ) -> Result<Option<Chosen>, Duration> {
-        if self.state().quotas.is_empty() || self.is_denied(course, occasion) {
+        context: &Context,
+        reason: Reason,
+    ) -> Result<Option<Assignment>, Duration> {
+        if self.state().quotas.is_empty() || self.is_denied(context, reason) {
             return Ok(None);
         }
-        let mut candidates = self.limited(course, occasion);
+        let mut candidates = self.limited(context, reason);
         if candidates.is_empty() {
             return Ok(None);
         }
         let servers: Vec<u64> = candidates.iter().map(|one| one.server.key).collect();
-        let most = match occasion {
-            Occasion::Spare => Duration::ZERO,
-            Occasion::Full => WAIT_BESIDE,
-            Occasion::Only => course.wait().for_grant(),
+        let most = match reason {
+            Reason::HasCapacity => Duration::ZERO,
+            Reason::OthersFull => WAIT_BESIDE,
+            Reason::OnlyLimited => context.wait().for_grant(),
         };
-        let slot = match self.granted(&course.service, &servers, most).await {
+        let slot = match self.granted(&context.service, &servers, most).await {
             Ok(slot) => slot,
             Err(come_back) => {
-                self.denied(course, occasion, servers.len(), come_back);
+                self.denied(context, reason, servers.len(), come_back);
                 return Err(come_back);
             }
         };
@@ -107,18 +107,18 @@
         };
         time::sleep(slot.wait).await;
         let (records, servers) = ([one.record], [one.server]);
-        let chosen = self.seat(self.state(), course, &records, &servers, one.place);
-        Ok(Some(chosen))
+        let assignment = self.assign(self.state(), context, &records, &servers, one.place);
+        Ok(Some(assignment))
     }
 
     /// Servers that name a limit and would do, the best first.
-    fn limited(&self, course: &Course, occasion: Occasion) -> Vec<Candidate> {
+    fn limited(&self, context: &Context, reason: Reason) -> Vec<Candidate> {
         let now = self.node.now();
-        let is_grantor = self.grantors(&course.service).first() == Some(&self.me());
+        let is_grantor = self.grantors(&context.service).first() == Some(&self.me());
         let mut state = self.state();
-        let other = occasion != Occasion::Only;
-        let mut records = standing::limited(&state, now, course, other);
-        if occasion == Occasion::Spare {
+        let other = reason != Reason::OnlyLimited;
+        let mut records = standing::limited(&state, now, context, other);
+        if reason == Reason::HasCapacity {
             // Others may ask as well once nobody knows whether the limit goes on.
             records.retain(|one| {
                 let server = board::server_key(&one.life);
@@ -130,12 +130,12 @@
             return Vec::new();
         }
         let servers = self.servers(&mut state, now, &records, subset::Subset::WHOLE);
-        let writing = course.writing(&state.writing);
+        let writing = context.write_time_bound(&state.writing);
         drop(state);
         let all = records.into_iter().zip(servers);
         let all = all.filter_map(|(record, server)| {
-            let place = lone_place(course, &server, occasion)?;
-            if !course.ends_in_life(place.first_ms, writing) {
+            let place = lone_place(context, &server, reason)?;
+            if !context.completes_before_exit(place.first_ms, writing) {
                 return None;
             }
             Some(Candidate {
@@ -145,7 +145,7 @@
             })
         });
         let mut candidates: Vec<Candidate> = all.collect();
-        let draw = course.need().draw;
+        let draw = context.need().draw;
         candidates.sort_by_key(|one| (one.place.first_ms as u64, one.server.key ^ draw));
         candidates.truncate(MOST_NAMED);
         candidates
@@ -161,8 +161,13 @@
         let now = self.node.now();
         let mut grantors = self.grantors(service);
         {
-            let asked = self.asked();
-            grantors.retain(|one| asked.passed_over.get(one).is_none_or(|until| now >= *until));
+            let requests = self.grant_requests();
+            grantors.retain(|one| {
+                requests
+                    .passed_over
+                    .get(one)
+                    .is_none_or(|until| now >= *until)
+            });
         }
         for grantor in grantors.into_iter().take(MOST_ASKED) {
             if grantor == self.me() {
@@ -180,7 +185,7 @@
             }
             self.counts.unanswered();
             let until = self.node.now() + PASSED_OVER;
-            self.asked().passed_over.insert(grantor, until);
+            self.grant_requests().passed_over.insert(grantor, until);
         }
         Err(quota::COME_BACK)
     }
@@ -194,10 +199,10 @@
     ) -> Option<gossip::Grant> {
         let (tx, rx) = oneshot::channel();
         let number = {
-            let mut asked = self.asked();
-            asked.last += 1;
-            let number = asked.last;
-            asked.pending.insert(number, tx);
+            let mut requests = self.grant_requests();
+            requests.last += 1;
+            let number = requests.last;
+            requests.pending.insert(number, tx);
             number
         };
         let words = {
@@ -213,7 +218,7 @@
         };
         self.tell_one(grantor, gossip::News::Ask(ask));
         let granted = time::timeout(ASK_TIMEOUT, rx).await;
-        self.asked().pending.remove(&number);
+        self.grant_requests().pending.remove(&number);
         granted.ok()?.ok()
     }
 
@@ -234,8 +239,8 @@
     }
 
     /// Answers another process that asks for a grant.
-    pub(super) fn grant_asked(&self, ask: &gossip::Ask) -> gossip::Grant {
-        self.take_words(&ask.words);
+    pub(super) fn answer_grant_request(&self, ask: &gossip::Ask) -> gossip::Grant {
+        self.receive_limit_reports(&ask.words);
         let servers: Vec<u64> = ask.words.iter().map(|one| one.server).collect();
         let granted = self.grant(&ask.service, &servers, ask.most);
         gossip::Grant {
@@ -246,8 +251,8 @@
     }
 
     /// Takes the answer to what this process asked.
-    pub(super) fn take_grant(&self, grant: gossip::Grant) {
-        if let Some(waiting) = self.asked().pending.remove(&grant.number) {
+    pub(super) fn receive_grant(&self, grant: gossip::Grant) {
+        if let Some(waiting) = self.grant_requests().pending.remove(&grant.number) {
             // Whoever asked may have left meanwhile: then the grant is not used.
             let _ = waiting.send(grant);
         }
@@ -268,12 +273,12 @@
             Some(grantor) if *grantor != self.me() => {
                 self.tell_one(*grantor, gossip::News::Charged(server));
             }
-            _ => self.take_charge(server),
+            _ => self.receive_charge(server),
         }
     }
 
     /// Something was sent without a grant.
-    pub(super) fn take_charge(&self, server: u64) {
+    pub(super) fn receive_charge(&self, server: u64) {
         let now = self.node.now();
         self.state().quotas.charge(now, server);
     }
@@ -295,56 +300,58 @@
         self.node.settings().link
     }
 
-    fn asked(&self) -> MutexGuard<'_, Asked> {
-        self.asked.lock().expect("asked lock")
+    fn grant_requests(&self) -> MutexGuard<'_, Requests> {
+        self.grant_requests.lock().expect("grant requests lock")
     }
 
     /// Whether its service's servers with a limit were found to take nothing a moment ago.
-    fn is_denied(&self, course: &Course, occasion: Occasion) -> bool {
+    fn is_denied(&self, context: &Context, reason: Reason) -> bool {
         let now = self.node.now();
-        let asked = self.asked();
-        let until = asked.denied.get(&course.service);
-        occasion != Occasion::Only && until.is_some_and(|until| now < *until)
+        let requests = self.grant_requests();
+        let until = requests.denied.get(&context.service);
+        reason != Reason::OnlyLimited && until.is_some_and(|until| now < *until)
     }
 
-    fn denied(&self, course: &Course, occasion: Occasion, servers: usize, come_back: Duration) {
+    fn denied(&self, context: &Context, reason: Reason, servers: usize, come_back: Duration) {
         let now = self.node.now();
-        if occasion != Occasion::Only {
+        if reason != Reason::OnlyLimited {
             let until = now + DENIED_FOR;
-            self.asked().denied.insert(course.service.clone(), until);
+            self.grant_requests()
+                .denied
+                .insert(context.service.clone(), until);
             return;
         }
         if self.lines.allow(Event::RequestLimited, now) {
-            log_event!(self.node.log(), Event::RequestLimited, "request" => &course.ask.id,
+            log_event!(self.node.log(), Event::RequestLimited, "request" => &context.request.id,
                 "servers" => servers, "come_back_ms" => come_back.as_millis() as u64,
-                "left_ms" => course.left().as_millis() as u64);
+                "left_ms" => context.time_left().as_millis() as u64);
         }
     }
 
     /// Forgets who was passed over. To be called now and then.
-    pub(super) fn prune_asked(&self) {
+    pub(super) fn prune_grants(&self) {
         let now = self.node.now();
-        let mut asked = self.asked();
-        asked.passed_over.retain(|_, until| now < *until);
-        asked.denied.retain(|_, until| now < *until);
+        let mut requests = self.grant_requests();
+        requests.passed_over.retain(|_, until| now < *until);
+        requests.denied.retain(|_, until| now < *until);
     }
 }
 
 /// The place of a request at a server by itself, if it would do there.
-fn lone_place(course: &Course, server: &place::Server, occasion: Occasion) -> Option<place::Place> {
-    let (Some(engine), Some(_)) = (&course.engine, course.ask.size) else {
+fn lone_place(context: &Context, server: &place::Server, reason: Reason) -> Option<place::Place> {
+    let (Some(engine), Some(_)) = (&context.engine, context.request.size) else {
         let taken = server.load.readers + server.load.writers;
-        let is_free = taken < server.slots || occasion == Occasion::Only;
+        let is_free = taken < server.slots || reason == Reason::OnlyLimited;
         return is_free.then(|| lone::plain(0));
     };
-    let need = course.need();
+    let need = context.need();
     let place = lone::engine(engine, &need, server, 0)?;
-    let would_do = match occasion {
-        Occasion::Spare => !place::is_long(engine, &need) && place.is_surely_on_time(need.aim),
-        Occasion::Full => !place.is_full(course.route.objective),
-        Occasion::Only => true,
+    let would_do = match reason {
+        Reason::HasCapacity => !place::is_long(engine, &need) && place.is_surely_on_time(need.aim),
+        Reason::OthersFull => !place.is_full(context.route.objective),
+        Reason::OnlyLimited => true,
     };
-    (would_do && course.allows(&place)).then_some(place)
+    (would_do && context.meets_deadline_at(&place)).then_some(place)
 }
 
 impl State {
--- a/src/edge/direct/host.rs
+++ b/src/edge/direct/host.rs
@@ -119,7 +119,7 @@
         node.set_control(role);
     }
     let direct = Direct::new(&node, setup.direct.clone(), parts.dialect);
-    let (doors, closing) = stop::Doors::open();
+    let (doors, closing) = stop::Listeners::open();
     // Callers' comes last: a process that fails to start takes no connection that it would cut.
     let admin = bind_any(setup.admin, "operators' listener").await?;
     let mut looks = Vec::new();
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -370,13 +370,13 @@
             gossip::News::Died(request, server) => {
                 self.direct.state().suspects.died(now, request, &server);
             }
-            gossip::News::Limits(words) => self.direct.take_words(&words),
+            gossip::News::Limits(words) => self.direct.receive_limit_reports(&words),
             gossip::News::Ask(ask) => {
-                let grant = self.direct.grant_asked(&ask);
+                let grant = self.direct.answer_grant_request(&ask);
                 self.send(gossip::News::Grant(grant), &[from.link]);
             }
-            gossip::News::Grant(grant) => self.direct.take_grant(grant),
-            gossip::News::Charged(server) => self.direct.take_charge(server),
+            gossip::News::Grant(grant) => self.direct.receive_grant(grant),
+            gossip::News::Charged(server) => self.direct.receive_charge(server),
         }
         if from.version > self.direct.node.documents().version() {
             self.pull(from.link);
--- a/src/edge/direct/probe.rs
+++ b/src/edge/direct/probe.rs
@@ -82,7 +82,7 @@
                 .header(http::header::HOST, server.addr.to_string())
                 .body(Full::new(Bytes::new()))
                 .ok()?;
-            let sent = self.sent(&server.life, tally::Kind::Probe);
+            let sent = self.record_sent(&server.life, tally::Kind::Probe);
             let response = conn.send(request).await.ok()?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, 64 << 10);
@@ -91,10 +91,10 @@
             Some((report, sent, head.headers))
         };
         let (report, sent, headers) = time::timeout(PROBE_TIMEOUT, asking).await.ok()??;
-        if !server.life.may_be(report.born) {
+        if !server.life.may_be(report.started_ms) {
             return None;
         }
-        self.take_limit(&server.life, sent, &headers, quota::Source::Other);
+        self.observe_limit(&server.life, sent, &headers, quota::Source::Other);
         if report.pace > 0.0 {
             self.state().healths.paced(&server.life, report.pace);
         }
--- a/src/edge/direct/progress.rs
+++ b/src/edge/direct/progress.rs
@@ -56,7 +56,7 @@
 
 /// What is known of a request in progress.
 #[derive(Clone, Debug)]
-pub struct Mark {
+pub struct State {
     /// The caller's id of it.
     pub id: String,
     /// How far it is.
@@ -66,7 +66,7 @@
     /// When it came.
     pub began: Instant,
     /// When its caller's time is over, once known.
-    pub end: Option<Instant>,
+    pub deadline: Option<Instant>,
     /// The backend server of its last attempt.
     pub server: Option<register::Life>,
     /// Events passed on.
@@ -77,17 +77,17 @@
 
 /// A request in progress, shared by whoever works on it.
 #[derive(Clone, Debug)]
-pub struct Progress(Arc<Mutex<Mark>>);
+pub struct Progress(Arc<Mutex<State>>);
 
 impl Progress {
     fn new(id: &str) -> Self {
         let now = Instant::now();
-        Self(Arc::new(Mutex::new(Mark {
+        Self(Arc::new(Mutex::new(State {
             id: id.to_owned(),
             stage: Stage::Admission,
             since: now,
             began: now,
-            end: None,
+            deadline: None,
             server: None,
             events: 0,
             is_cut: false,
@@ -95,23 +95,23 @@
     }
 
     /// What is known of it.
-    pub fn mark(&self) -> MutexGuard<'_, Mark> {
+    pub fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().expect("progress lock")
     }
 
     /// It reached a stage.
     pub fn reach(&self, stage: Stage) {
-        let mut mark = self.mark();
-        if mark.stage != stage {
-            mark.stage = stage;
-            mark.since = Instant::now();
+        let mut current = self.lock();
+        if current.stage != stage {
+            current.stage = stage;
+            current.since = Instant::now();
         }
     }
 
     /// An attempt at `server` begins with this stage.
     pub fn reach_at(&self, stage: Stage, server: &register::Life) {
         self.reach(stage);
-        self.mark().server = Some(server.clone());
+        self.lock().server = Some(server.clone());
     }
 }
 
@@ -150,7 +150,7 @@
     pub fn count(&self) -> [usize; Stage::ALL.len()] {
         let mut counts = [0; Stage::ALL.len()];
         for progress in self.all() {
-            counts[progress.mark().stage as usize] += 1;
+            counts[progress.lock().stage as usize] += 1;
         }
         counts
     }
@@ -161,8 +161,9 @@
 }
 
 /// Time that is left of a caller's time, 0 where it is over or not known.
-pub fn left(mark: &Mark) -> Duration {
+pub fn time_left(state: &State) -> Duration {
     let now = Instant::now();
-    mark.end
-        .map_or(Duration::ZERO, |end| end.saturating_duration_since(now))
+    state.deadline.map_or(Duration::ZERO, |deadline| {
+        deadline.saturating_duration_since(now)
+    })
 }
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -18,7 +18,7 @@
 
 use super::Direct;
 use super::attempt;
-use super::course::Course;
+use super::context::Context;
 use super::dialect;
 use super::door;
 use super::progress;
@@ -87,16 +87,16 @@
         request: http::Request<body::Incoming>,
     ) -> http::Response<door::Body> {
         let (head, body) = request.into_parts();
-        let ask = self.dialect.ask(&head);
-        let mut span = span::Span::new(self, &ask.id);
+        let request = self.dialect.request(&head);
+        let mut span = span::Span::new(self, &request.id);
         let lifetime = self.node.lifetime();
         let admitted = tokio::select! {
             biased;
-            admitted = self.admit(ask, head, body, span.progress()) => admitted,
+            admitted = self.admit(request, head, body, span.progress()) => admitted,
             () = lifetime.over() => Err(Denied::new(StatusCode::SERVICE_UNAVAILABLE, ENDS)),
         };
-        let course = match admitted {
-            Ok(course) => course,
+        let context = match admitted {
+            Ok(context) => context,
             Err(denied) => {
                 span.end(denied.status, denied.why);
                 // Other entries have what this one waited for.
@@ -107,8 +107,8 @@
                 return refuse(denied.status, come_back);
             }
         };
-        span.serves(&course.service);
-        self.relay(course, span).await
+        span.serves(&context.service);
+        self.relay(context, span).await
     }
 
     fn idle_timeout(&self) -> Duration {
@@ -121,18 +121,18 @@
     /// Reads a request and finds its route and workspace.
     async fn admit(
         &self,
-        ask: dialect::Ask,
+        request: dialect::Request,
         head: request::Parts,
         body: body::Incoming,
         progress: &progress::Progress,
-    ) -> Result<Course, Denied> {
+    ) -> Result<Context, Denied> {
         let catalog = self.catalog();
         let limits = catalog.as_ref().map(|one| *one.limits());
         let body = read_body(body, &limits.unwrap_or_default()).await?;
-        let patience = ask.patience.unwrap_or(MOST_PATIENCE);
+        let patience = request.timeout.unwrap_or(MOST_PATIENCE);
         let gather = GATHER.min(patience.mul_f64(GATHER_PART));
-        let catalog = self.catalog_for(&ask, head.uri.path(), gather).await?;
-        let (route, workspace) = look_up(&catalog, &ask, head.uri.path())?;
+        let catalog = self.catalog_for(&request, head.uri.path(), gather).await?;
+        let (route, workspace) = look_up(&catalog, &request, head.uri.path())?;
         let limit = patience.min(route.timeout);
         let Some(target) = route.target(rand::random()) else {
             let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -142,29 +142,29 @@
         self.await_server(&service, gather).await;
         let engine = catalog.service(&service).and_then(|one| one.engine);
         let name = workspace.map(|one| one.name.clone());
-        let path = format!("{}{}", ask.host, head.uri);
+        let path = format!("{}{}", request.host, head.uri);
         let fingerprint = id::Fingerprint::of(name.as_deref().unwrap_or(""), &path, &body);
         let now = self.node.now();
         if self.state().suspects.is_poison(now, &fingerprint) {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return Err(Denied::new(status, "backend servers died under it"));
         }
-        let began = progress.mark().began;
-        progress.mark().end = Some(began + limit);
+        let began = progress.lock().began;
+        progress.lock().deadline = Some(began + limit);
         let priority = workspace.and_then(|one| one.priority);
-        Ok(Course {
+        Ok(Context {
             priority: priority.unwrap_or(route.priority),
             route: route.clone(),
-            ask,
+            request,
             head,
             body,
             service,
             engine,
             workspace: name,
             began,
-            end: began + limit,
-            past: verdict::Past::default(),
-            tried: Vec::new(),
+            deadline: began + limit,
+            history: verdict::Past::default(),
+            failed_servers: Vec::new(),
             fingerprint,
             version: catalog.version(),
             progress: progress.clone(),
@@ -177,7 +177,7 @@
     /// not.
     async fn catalog_for(
         &self,
-        ask: &dialect::Ask,
+        request: &dialect::Request,
         path: &str,
         gather: Duration,
     ) -> Result<Arc<catalog::Catalog>, Denied> {
@@ -186,7 +186,7 @@
         let Some(catalog) = self.await_catalog(gather).await else {
             return Err(Denied::new(status, "no configuration known yet"));
         };
-        if look_up(&catalog, ask, path).is_ok() || self.is_confirmed(&catalog) {
+        if look_up(&catalog, request, path).is_ok() || self.is_confirmed(&catalog) {
             return Ok(catalog);
         }
         let left = gather.saturating_sub(began.elapsed());
@@ -196,79 +196,86 @@
 
     async fn relay(
         self: &Arc<Self>,
-        mut course: Course,
+        mut context: Context,
         mut span: span::Span,
     ) -> http::Response<door::Body> {
         let now = self.node.now();
-        self.state().budget.request(now, &course.service);
-        let end = time::Instant::from_std(course.end);
-        let lifetime = course.lifetime.clone();
+        self.state().budget.request(now, &context.service);
+        let end = time::Instant::from_std(context.deadline);
+        let lifetime = context.lifetime.clone();
         // An answer that is there is passed on, whatever the time.
         let got = tokio::select! {
             biased;
-            got = time::timeout_at(end, self.pursue(&mut course, None)) => got,
-            () = lifetime.over() => Ok(Err(course.end_here().into())),
+            got = time::timeout_at(end, self.pursue(&mut context, None)) => got,
+            () = lifetime.over() => Ok(Err(context.end_with_process().into())),
         };
-        let missed = match got {
-            Ok(Ok(attempt::Got::Whole(whole))) => {
+        let failure = match got {
+            Ok(Ok(attempt::Response::Complete(whole))) => {
                 span.first(0.0);
                 span.end(whole.head.status, "answered");
                 return pass_on(whole);
             }
-            Ok(Ok(attempt::Got::Stream {
+            Ok(Ok(attempt::Response::Stream {
                 head,
                 first,
                 reader,
             })) => {
                 span.first(reader.first_ms);
-                return self.pass_stream(course, span, &head, first, reader);
+                return self.pass_stream(context, span, &head, first, reader);
             }
-            Ok(Err(missed)) => missed,
+            Ok(Err(failure)) => failure,
             Err(_) => verdict::End::Late.into(),
         };
-        if let Some(answer) = missed.answer {
+        if let Some(answer) = failure.response {
             span.end(answer.head.status, "failed by its backend server");
             return pass_on(answer);
         }
-        let (status, come_back) = match verdict::refusal(&missed.end, course.past, course.left()) {
-            verdict::Refusal::Busy(come_back) => (StatusCode::SERVICE_UNAVAILABLE, Some(come_back)),
-            verdict::Refusal::Failed => (StatusCode::BAD_GATEWAY, None),
-            verdict::Refusal::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
-        };
-        span.end(status, &format!("{:?}", missed.end));
+        let (status, come_back) =
+            match verdict::refusal(&failure.end, context.history, context.time_left()) {
+                verdict::Refusal::Busy(come_back) => {
+                    (StatusCode::SERVICE_UNAVAILABLE, Some(come_back))
+                }
+                verdict::Refusal::Failed => (StatusCode::BAD_GATEWAY, None),
+                verdict::Refusal::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
+            };
+        span.end(status, &format!("{:?}", failure.end));
         refuse(status, come_back)
     }
 
     /// Tries until there is an answer to pass on, or no use in another attempt.
     async fn pursue(
         self: &Arc<Self>,
-        course: &mut Course,
+        context: &mut Context,
         after: Option<&str>,
-    ) -> Result<attempt::Got, attempt::Missed> {
+    ) -> Result<attempt::Response, attempt::Failure> {
         loop {
-            let missed = match self.attempt(course, after).await {
+            let failure = match self.attempt(context, after).await {
                 Ok(got) => return Ok(got),
-                Err(missed) => missed,
+                Err(failure) => failure,
             };
             // Who moved on of its own will has spent its part of the budget before.
             let is_free = matches!(
-                missed.end,
+                failure.end,
                 verdict::End::Unsent | verdict::End::Slow | verdict::End::Silent
             );
-            let may = verdict::again(&course.route, &missed.end, course.past, course.left())
-                && (is_free || self.spend(&course.service));
+            let may = verdict::again(
+                &context.route,
+                &failure.end,
+                context.history,
+                context.time_left(),
+            ) && (is_free || self.spend_retry(&context.service));
             if !may {
-                return Err(missed);
+                return Err(failure);
             }
-            if course.past.tried > 1 && missed.end.not_run() {
-                course.progress.reach(progress::Stage::Paused);
-                time::sleep(REFUSED_PAUSE * (1 << (course.past.tried - 2).min(4))).await;
+            if context.history.tried > 1 && failure.end.not_run() {
+                context.progress.reach(progress::Stage::Paused);
+                time::sleep(REFUSED_PAUSE * (1 << (context.history.tried - 2).min(4))).await;
             }
         }
     }
 
     /// Spends a part of the budget of requests that are sent again.
-    pub(super) fn spend(&self, service: &str) -> bool {
+    pub(super) fn spend_retry(&self, service: &str) -> bool {
         let now = self.node.now();
         let entries = self.entries();
         self.state().budget.spend(now, service, entries)
@@ -276,24 +283,24 @@
 
     /// Whether a request may leave the server that it waits at, and spends what that takes.
     /// Whoever may not goes on waiting: an answer may yet come.
-    pub(super) fn may_move(&self, course: &Course) -> bool {
+    pub(super) fn may_move(&self, context: &Context) -> bool {
         let end = verdict::End::Slow;
-        verdict::again(&course.route, &end, course.past, course.left())
-            && self.spend(&course.service)
+        verdict::again(&context.route, &end, context.history, context.time_left())
+            && self.spend_retry(&context.service)
     }
 
     /// Whether a request leaves a server that is slow, and spends what that takes.
-    pub(super) fn had_better_move(&self, course: &Course, server: &register::Life) -> bool {
-        self.has_better(course, server) && self.may_move(course)
+    pub(super) fn should_move(&self, context: &Context, server: &register::Life) -> bool {
+        self.has_better_server(context, server) && self.may_move(context)
     }
 
     /// Passes events on as they come; where the stream breaks off, it goes on elsewhere.
     fn pass_stream(
         self: &Arc<Self>,
-        mut course: Course,
+        mut context: Context,
         mut span: span::Span,
         head: &response::Parts,
-        first: stream::Piece,
+        first: stream::Chunk,
         mut reader: Box<stream::Reader>,
     ) -> http::Response<door::Body> {
         let status = head.status;
@@ -301,41 +308,41 @@
         let direct = Arc::clone(self);
         let pieces = async_stream::stream! {
             let began = Instant::now();
-            let mut after = first.last.clone();
-            course.progress.reach(progress::Stage::Answering);
+            let mut after = first.last_id.clone();
+            context.progress.reach(progress::Stage::Answering);
             span.passed(first.events);
             yield Ok(body::Frame::data(first.bytes));
-            let limit = time::Instant::from_std(course.end);
+            let limit = time::Instant::from_std(context.deadline);
             loop {
-                let next = time::timeout_at(limit, time::timeout(patience::stuck(&course.route), reader.next(patience::QUIET, || direct.may_move(&course))));
+                let next = time::timeout_at(limit, time::timeout(patience::stuck(&context.route), reader.next(patience::QUIET, || direct.may_move(&context))));
                 let lost = match next.await {
-                    Ok(Ok(stream::Next::Piece(piece))) => {
+                    Ok(Ok(stream::Next::Chunk(piece))) => {
                         span.passed(piece.events);
-                        if piece.last.is_some() {
-                            after.clone_from(&piece.last);
+                        if piece.last_id.is_some() {
+                            after.clone_from(&piece.last_id);
                         }
                         yield Ok(body::Frame::data(piece.bytes));
                         continue;
                     }
                     Ok(Ok(stream::Next::End)) => {
-                        direct.state().suspects.clear(&course.fingerprint);
-                        direct.observe_writing(&course, began.elapsed());
+                        direct.state().suspects.clear(&context.fingerprint);
+                        direct.observe_writing(&context, began.elapsed());
                         span.end(status, "answered");
                         return;
                     }
                     Ok(Ok(stream::Next::Lost(end))) => end,
-                    Ok(Err(_)) if direct.had_better_move(&course, &reader.server.life) => {
+                    Ok(Err(_)) if direct.should_move(&context, &reader.server.life) => {
                         verdict::End::Slow
                     }
                     Ok(Err(_)) => continue,
                     Err(_) => verdict::End::Late,
                 };
-                let resumed = direct.resume_in_time(&mut course, &reader, &lost, after.as_deref());
+                let resumed = direct.resume_in_time(&mut context, &reader, &lost, after.as_deref());
                 if let Some((piece, next)) = resumed.await {
-                        course.progress.reach(progress::Stage::Answering);
+                        context.progress.reach(progress::Stage::Answering);
                         span.passed(piece.events);
-                        if piece.last.is_some() {
-                            after.clone_from(&piece.last);
+                        if piece.last_id.is_some() {
+                            after.clone_from(&piece.last_id);
                         }
                         reader = next;
                         yield Ok(body::Frame::data(piece.bytes));
@@ -353,31 +360,31 @@
     }
 
     /// Takes note of how long an answer was written, if one server wrote it all.
-    fn observe_writing(&self, course: &Course, took: Duration) {
-        let (Some(engine), Some(size)) = (&course.engine, course.ask.size) else {
+    fn observe_writing(&self, context: &Context, took: Duration) {
+        let (Some(engine), Some(size)) = (&context.engine, context.request.size) else {
             return;
         };
-        if course.past.ran > 1 {
+        if context.history.ran > 1 {
             return;
         }
-        let expected = patience::writing(engine, size.prompt, course.expected_answer());
+        let expected = patience::writing(engine, size.prompt, context.expected_answer());
         let mut state = self.state();
-        state.writing.observe(&course.service, took, expected);
+        state.writing.observe(&context.service, took, expected);
     }
 
     /// The same as [`Self::resume`], as long as its caller's time and this process last.
     async fn resume_in_time(
         self: &Arc<Self>,
-        course: &mut Course,
+        context: &mut Context,
         reader: &stream::Reader,
         lost: &verdict::End,
         after: Option<&str>,
-    ) -> Option<(stream::Piece, Box<stream::Reader>)> {
-        let end = time::Instant::from_std(course.end);
-        let lifetime = course.lifetime.clone();
+    ) -> Option<(stream::Chunk, Box<stream::Reader>)> {
+        let end = time::Instant::from_std(context.deadline);
+        let lifetime = context.lifetime.clone();
         tokio::select! {
             biased;
-            resumed = time::timeout_at(end, self.resume(course, reader, lost, after)) => {
+            resumed = time::timeout_at(end, self.resume(context, reader, lost, after)) => {
                 resumed.ok().flatten()
             }
             () = lifetime.over() => None,
@@ -387,28 +394,28 @@
     /// Goes on with a stream at another server after its last whole event.
     async fn resume(
         self: &Arc<Self>,
-        course: &mut Course,
+        context: &mut Context,
         reader: &stream::Reader,
         lost: &verdict::End,
         after: Option<&str>,
-    ) -> Option<(stream::Piece, Box<stream::Reader>)> {
+    ) -> Option<(stream::Chunk, Box<stream::Reader>)> {
         match lost {
             verdict::End::Silent => self.missed(&reader.server.life, "silent midway"),
             verdict::End::Late => return None,
             verdict::End::Slow => {}
-            _ => self.look_after(course.fingerprint, reader.server.clone()),
+            _ => self.look_after(context.fingerprint, reader.server.clone()),
         }
-        course.tried.push(reader.server.life.clone());
+        context.failed_servers.push(reader.server.life.clone());
         let after = after?;
         let is_free = matches!(lost, verdict::End::Slow | verdict::End::Silent);
-        let may = verdict::again(&course.route, lost, course.past, course.left())
-            && (is_free || self.spend(&course.service));
+        let may = verdict::again(&context.route, lost, context.history, context.time_left())
+            && (is_free || self.spend_retry(&context.service));
         if !may {
             return None;
         }
-        match self.pursue(course, Some(after)).await {
-            Ok(attempt::Got::Stream { first, reader, .. }) => {
-                log_event!(self.node.log(), Event::StreamResumed, "request" => &course.ask.id,
+        match self.pursue(context, Some(after)).await {
+            Ok(attempt::Response::Stream { first, reader, .. }) => {
+                log_event!(self.node.log(), Event::StreamResumed, "request" => &context.request.id,
                     "server" => &reader.server.life, "after" => after, "cause" => format!("{lost:?}"));
                 Some((first, reader))
             }
@@ -436,16 +443,16 @@
 /// The route of a request, and the workspace of its caller where one is asked for.
 fn look_up<'a>(
     catalog: &'a catalog::Catalog,
-    ask: &dialect::Ask,
+    request: &dialect::Request,
     path: &str,
 ) -> Result<(&'a catalog::Route, Option<&'a catalog::Workspace>), Denied> {
-    let Some(route) = catalog.route(&ask.host, path) else {
+    let Some(route) = catalog.route(&request.host, path) else {
         return Err(Denied::new(StatusCode::NOT_FOUND, "no such route"));
     };
     if route.public || !catalog.keyed() {
         return Ok((route, None));
     }
-    let key = ask.key.as_deref();
+    let key = request.key.as_deref();
     match key.and_then(|key| catalog.workspace(key)) {
         Some(workspace) => Ok((route, Some(workspace))),
         None => Err(Denied::new(StatusCode::UNAUTHORIZED, "no such key")),
@@ -463,7 +470,7 @@
     headers
 }
 
-fn pass_on(whole: attempt::Whole) -> http::Response<door::Body> {
+fn pass_on(whole: attempt::Complete) -> http::Response<door::Body> {
     let headers = answer_headers(&whole.head);
     let mut response = http::Response::new(door::whole(whole.body));
     *response.status_mut() = whole.head.status;
--- a/src/edge/direct/reserve.rs
+++ b/src/edge/direct/reserve.rs
@@ -162,12 +162,12 @@
                 .header(header::CONTENT_TYPE, "application/json")
                 .body(Full::new(Bytes::from(body)))
                 .ok()?;
-            let sent = self.sent(&held.server, tally::Kind::Order);
+            let sent = self.record_sent(&held.server, tally::Kind::Order);
             self.charge(&held.server);
             let response = conn.send(request).await.ok()?;
             let status = response.status();
             let headers = response.headers();
-            self.take_limit(&held.server, sent, headers, quota::Source::Other);
+            self.observe_limit(&held.server, sent, headers, quota::Source::Other);
             // The connection is closed with its answer read, so that nothing resets it.
             let _ = response.into_body().collect().await;
             Some(status)
--- a/src/edge/direct/span.rs
+++ b/src/edge/direct/span.rs
@@ -66,12 +66,12 @@
 
     /// Events were passed on.
     pub(super) fn passed(&mut self, events: u32) {
-        let mut mark = self.progress.mark();
-        if mark.events > 0 {
+        let mut state = self.progress.lock();
+        if state.events > 0 {
             self.pause = self.pause.max(self.last.elapsed());
         }
         self.last = Instant::now();
-        mark.events += events;
+        state.events += events;
     }
 
     /// It was answered, or refused.
@@ -105,7 +105,7 @@
         let first = self.first.map_or(0, |one| one.as_millis() as u64);
         let whole = self.began.elapsed().as_millis() as u64;
         log_event!(self.direct.node.log(), event, "request" => &self.id, "status" => status,
-            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.mark().events,
+            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.lock().events,
             "pause_ms" => self.pause.as_millis() as u64);
     }
 }
@@ -113,7 +113,7 @@
 impl Drop for Span {
     fn drop(&mut self) {
         self.direct.progress.remove(self.number);
-        if !self.ended && !self.progress.mark().is_cut {
+        if !self.ended && !self.progress.lock().is_cut {
             let took = self.began.elapsed();
             self.direct.counts.ended(&self.service, "caller left", took);
             self.log(Event::CallerLeft, 0, "caller left");
--- a/src/edge/direct/standing.rs
+++ b/src/edge/direct/standing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::course::Course;
+use super::context::Context;
 use crate::direct::register;
 use crate::direct::subset;
 
@@ -18,24 +18,24 @@
 /// Servers that a request may go to, but for those that name a limit: those of its part of the
 /// fleet in good standing; failing that, of the whole fleet; failing that, any, if no server with
 /// a limit is in good standing.
-pub(super) fn candidates(state: &super::State, now: Duration, course: &Course) -> Candidates {
+pub(super) fn candidates(state: &super::State, now: Duration, context: &Context) -> Candidates {
     let ready: Vec<register::Ready<'_>> =
-        state.register.ready_keyed(now, &course.service).collect();
-    let part = subset::Subset::draw(ready.len(), course.need().draw);
+        state.register.ready_keyed(now, &context.service).collect();
+    let part = subset::Subset::draw(ready.len(), context.need().draw);
     if part != subset::Subset::WHOLE {
         let of_part: Vec<register::Ready<'_>> = ready
             .iter()
             .filter(|one| part.holds(one.key))
             .copied()
             .collect();
-        let good = in_good_standing(state, now, course, &of_part);
+        let good = in_good_standing(state, now, context, &of_part);
         if !good.open.is_empty() {
             let records = good.open;
             return Candidates { records, part };
         }
     }
     Candidates {
-        records: of_whole(state, now, course, &ready),
+        records: of_whole(state, now, context, &ready),
         part: subset::Subset::WHOLE,
     }
 }
@@ -50,12 +50,12 @@
 fn in_good_standing(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     ready: &[register::Ready<'_>],
 ) -> Good {
     let good = ready
         .iter()
-        .filter(|one| is_good(state, now, course, one.record, one.age));
+        .filter(|one| is_good(state, now, context, one.record, one.age));
     let (limited, open): (Vec<&register::Record>, Vec<&register::Record>) = good
         .map(|one| one.record)
         .partition(|one| state.is_limited(&one.life));
@@ -68,16 +68,16 @@
 fn of_whole(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     ready: &[register::Ready<'_>],
 ) -> Vec<register::Record> {
-    let good = in_good_standing(state, now, course, ready);
+    let good = in_good_standing(state, now, context, ready);
     if !good.open.is_empty() || good.has_limited {
         return good.open;
     }
     let open = ready.iter().map(|one| one.record);
     let open: Vec<&register::Record> = open.filter(|one| !state.is_limited(&one.life)).collect();
-    let untried = |one: &&&register::Record| !course.tried.contains(&one.life);
+    let untried = |one: &&&register::Record| !context.failed_servers.contains(&one.life);
     let rest: Vec<register::Record> = open.iter().filter(untried).copied().cloned().collect();
     if !rest.is_empty() {
         return rest;
@@ -89,16 +89,16 @@
 pub(super) fn limited(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     other: bool,
 ) -> Vec<register::Record> {
-    let ready = state.register.ready(now, &course.service);
+    let ready = state.register.ready(now, &context.service);
     let all: Vec<(&register::Record, Duration)> = ready
         .filter(|(one, _)| state.is_limited(&one.life))
         .collect();
     let good = all
         .iter()
-        .filter(|(one, age)| is_good(state, now, course, one, *age));
+        .filter(|(one, age)| is_good(state, now, context, one, *age));
     let good: Vec<register::Record> = good.map(|(one, _)| (*one).clone()).collect();
     if !good.is_empty() || other {
         return good;
@@ -110,10 +110,10 @@
 fn is_good(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     server: &register::Record,
     age: Duration,
 ) -> bool {
-    let untried = !course.tried.contains(&server.life);
+    let untried = !context.failed_servers.contains(&server.life);
     age < UNHEARD && untried && !state.healths.is_out(now, &server.life)
 }
--- a/src/edge/direct/stop.rs
+++ b/src/edge/direct/stop.rs
@@ -42,7 +42,7 @@
 const MOST_IDS: usize = 64;
 
 /// The listeners that a stop closes.
-pub(super) struct Doors {
+pub(super) struct Listeners {
     stage: watch::Sender<door::Stage>,
     /// Connections of callers.
     pub(super) callers: door::Open,
@@ -50,16 +50,16 @@
     pub(super) operators: door::Open,
 }
 
-impl Doors {
+impl Listeners {
     /// Open ones, and what tells their listeners to close.
     pub(super) fn open() -> (Self, watch::Receiver<door::Stage>) {
         let (stage, closing) = watch::channel(door::Stage::Open);
-        let doors = Self {
+        let listeners = Self {
             stage,
             callers: door::Open::default(),
             operators: door::Open::default(),
         };
-        (doors, closing)
+        (listeners, closing)
     }
 
     /// Ends each connection with its next answer.
@@ -81,7 +81,7 @@
 /// second signal comes.
 pub(super) async fn drain(
     direct: &Arc<Direct>,
-    doors: &Doors,
+    listeners: &Listeners,
     grace: Duration,
     signals: &mut mpsc::Receiver<i32>,
 ) {
@@ -90,13 +90,13 @@
     let lifetime = node.lifetime();
     lifetime.end_by(began + grace.saturating_sub(RESERVE + DELIVERY));
     node.drain();
-    doors.leave();
+    listeners.leave();
     if let Some(control) = node.control().cloned() {
         tokio::spawn(async move { control.hand_over(HAND_OVER).await });
     }
     let drained = async {
         time::sleep(NOTICE).await;
-        doors.close().await;
+        listeners.close().await;
     };
     let limit = time::Instant::from_std(began + grace.saturating_sub(RESERVE));
     tokio::select! {
@@ -106,7 +106,7 @@
     }
     lifetime.end_by(Instant::now());
     // What has not ended by then is cut.
-    let _ = time::timeout(DELIVERY, doors.close()).await;
+    let _ = time::timeout(DELIVERY, listeners.close()).await;
 }
 
 /// Waits for another signal to stop.
@@ -144,23 +144,23 @@
     let cut = direct.progress.all();
     let (single, rest) = cut.split_at(cut.len().min(MOST_LINES));
     for progress in single {
-        let mut mark = progress.mark();
-        mark.is_cut = true;
-        let server = mark.server.as_ref().map(ToString::to_string);
-        log_event!(direct.node.log(), Event::RequestCut, "request" => &mark.id,
-            "stage" => mark.stage.name(), "stage_ms" => mark.since.elapsed().as_millis() as u64,
-            "whole_ms" => mark.began.elapsed().as_millis() as u64,
-            "left_ms" => progress::left(&mark).as_millis() as u64, "events" => mark.events,
+        let mut state = progress.lock();
+        state.is_cut = true;
+        let server = state.server.as_ref().map(ToString::to_string);
+        log_event!(direct.node.log(), Event::RequestCut, "request" => &state.id,
+            "stage" => state.stage.name(), "stage_ms" => state.since.elapsed().as_millis() as u64,
+            "whole_ms" => state.began.elapsed().as_millis() as u64,
+            "left_ms" => progress::time_left(&state).as_millis() as u64, "events" => state.events,
             "server" => server.unwrap_or_default());
     }
     let mut by_stage: BTreeMap<progress::Stage, Vec<String>> = BTreeMap::new();
     for progress in rest {
-        let mut mark = progress.mark();
-        mark.is_cut = true;
+        let mut state = progress.lock();
+        state.is_cut = true;
         by_stage
-            .entry(mark.stage)
+            .entry(state.stage)
             .or_default()
-            .push(mark.id.clone());
+            .push(state.id.clone());
     }
     for (stage, ids) in by_stage {
         for ids in ids.chunks(MOST_IDS) {
--- a/src/edge/direct/stream.rs
+++ b/src/edge/direct/stream.rs
@@ -20,11 +20,11 @@
 
 /// Whole events that came together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Piece {
+pub struct Chunk {
     /// Their bytes.
     pub bytes: Bytes,
     /// Id of the last of them that has one.
-    pub last: Option<String>,
+    pub last_id: Option<String>,
     /// How many.
     pub events: u32,
 }
@@ -32,7 +32,7 @@
 /// What comes next in a stream.
 pub enum Next {
     /// Events.
-    Piece(Piece),
+    Chunk(Chunk),
     /// Its proper end.
     End,
     /// It broke off.
@@ -46,13 +46,13 @@
     pub server: register::Record,
     /// Milliseconds until the first event, as predicted.
     pub first_ms: f64,
-    seat: choose::Seat,
+    guard: choose::Guard,
     conn: Option<pool::Conn>,
     /// Memory set aside for it, released with this.
     _memory: Option<reserve::Reservation>,
     body: body::Incoming,
     splitter: sse::Splitter,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
     closes: bool,
     wrote: bool,
 }
@@ -61,21 +61,21 @@
     /// Reads `body`, which came over the connection held, with memory set aside for it.
     pub fn new(
         direct: &Arc<Direct>,
-        chosen: choose::Chosen,
+        assignment: choose::Assignment,
         held: (pool::Conn, Option<reserve::Reservation>),
         body: body::Incoming,
-        answer: &dialect::Answer,
+        answer: &dialect::Response,
     ) -> Self {
         Self {
             direct: Arc::clone(direct),
-            server: chosen.server,
-            first_ms: chosen.first_ms,
-            seat: chosen.seat,
+            server: assignment.server,
+            first_ms: assignment.first_ms,
+            guard: assignment.guard,
             conn: Some(held.0),
             _memory: held.1,
             body,
             splitter: sse::Splitter::default(),
-            keep: answer.keep,
+            keep_alive: answer.keep_alive,
             closes: answer.closes,
             wrote: false,
         }
@@ -110,9 +110,9 @@
             if piece.events > 0 {
                 if !self.wrote {
                     self.wrote = true;
-                    self.seat.wrote();
+                    self.guard.start_writing();
                 }
-                return Next::Piece(piece);
+                return Next::Chunk(piece);
             }
             let frame = {
                 let dead = self.direct.dead(&self.server, quiet);
@@ -144,14 +144,14 @@
         }
     }
 
-    fn take_events(&mut self) -> Piece {
-        let mut piece = Piece::default();
+    fn take_events(&mut self) -> Chunk {
+        let mut piece = Chunk::default();
         let mut bytes = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
             bytes.extend_from_slice(&event.bytes);
             piece.events += 1;
             if event.id.is_some() {
-                piece.last = event.id;
+                piece.last_id = event.id;
             }
         }
         piece.bytes = bytes.freeze();
@@ -165,7 +165,7 @@
         {
             let most = self.direct.most_idle(&self.server.service);
             let life = &self.server.life;
-            self.direct.pool.keep(life, conn, self.keep, most);
+            self.direct.pool.keep(life, conn, self.keep_alive, most);
         }
     }
 }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Direct;
-use super::course::Course;
+use super::context::Context;
 use crate::direct::board;
 use crate::direct::place;
 use crate::edge::event::Event;
@@ -35,25 +35,25 @@
     }
 
     /// Whether none that waits goes before it.
-    pub(super) fn has_come(&self, course: &Course) -> bool {
+    pub(super) fn has_come(&self, context: &Context) -> bool {
         let now = self.direct.node.now();
-        let need = course.need();
-        let Some(engine) = course.engine.filter(|one| place::is_long(one, &need)) else {
+        let need = context.need();
+        let Some(engine) = context.engine.filter(|one| place::is_long(one, &need)) else {
             return true;
         };
         let state = self.direct.state();
         match self.ticket {
             Some(ticket) => state.board.is_first(now, ticket, self.rank),
-            None => state.board.ahead(now, course.wait().rank(&engine, &need)) == 0,
+            None => state.board.ahead(now, context.wait().rank(&engine, &need)) == 0,
         }
     }
 
     /// Takes its place, or keeps it with a better rank.
-    pub(super) fn wait(&mut self, course: &Course) {
-        let Some(engine) = &course.engine else {
+    pub(super) fn wait(&mut self, context: &Context) {
+        let Some(engine) = &context.engine else {
             return;
         };
-        self.rank = course.wait().rank(engine, &course.need());
+        self.rank = context.wait().rank(engine, &context.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
         self.ticket = Some(state.board.wait(self.ticket, self.rank));
@@ -65,9 +65,9 @@
         }
         self.direct.loads_changed.notify_one();
         if self.direct.lines.allow(Event::RequestWaits, now) {
-            log_event!(self.direct.node.log(), Event::RequestWaits, "request" => &course.ask.id,
-                "prompt" => course.need().prompt, "rank" => self.rank, "ahead" => ahead,
-                "left_ms" => course.left().as_millis() as u64);
+            log_event!(self.direct.node.log(), Event::RequestWaits, "request" => &context.request.id,
+                "prompt" => context.need().prompt, "rank" => self.rank, "ahead" => ahead,
+                "left_ms" => context.time_left().as_millis() as u64);
         }
     }
 
