--- a/src/edge/direct/account.rs
+++ b/src/edge/direct/account.rs
@@ -1,4 +1,4 @@
-//! What is sent to backend servers, and the limits that these name.
+//! Accounts for what this entry sends to backend servers, and for the limits that they name.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::log_event;
 
 impl Direct {
-    /// Something goes to a backend server: when.
+    /// Counts something sent to a backend server now, and returns the time.
     pub(super) fn record_sent(&self, life: &register::Life, kind: tally::Kind) -> Duration {
         let now = self.node.now();
         self.counts.sent(kind);
@@ -20,7 +20,7 @@
         now
     }
 
-    /// Takes what an answer to something sent at `sent` says of its server's limit.
+    /// Updates the limit of a server from the headers of its response to something sent at `sent`.
     pub(super) fn observe_limit(
         &self,
         life: &register::Life,
@@ -35,29 +35,29 @@
             return;
         }
         let server = board::server_key(life);
-        let Some(word) = state.quotas.heard(now, server, sent, named, source) else {
+        let Some(report) = state.quotas.heard(now, server, sent, named, source) else {
             return;
         };
-        let lately = state.tally.lately(now, life);
+        let recent = state.tally.lately(now, life);
         drop(state);
-        self.tell(gossip::News::Limits(vec![word]));
-        log_event!(self.node.log(), Event::ServerLimit, "server" => life, "change" => word.change,
-            "limit" => shown(word.limit), "direct" => true,
-            "age_ms" => now.saturating_sub(sent).as_millis() as u64, "requests" => lately.requests,
-            "probes" => lately.probes, "orders" => lately.orders);
+        self.tell(gossip::News::Limits(vec![report]));
+        log_event!(self.node.log(), Event::ServerLimit, "server" => life, "change" => report.change,
+            "limit" => limit_text(report.limit), "direct" => true,
+            "age_ms" => now.saturating_sub(sent).as_millis() as u64, "requests" => recent.requests,
+            "probes" => recent.probes, "orders" => recent.orders);
     }
 
-    /// Takes what other entries know of limits.
-    pub(super) fn receive_limit_reports(&self, words: &[quota::Word]) {
+    /// Updates limits from the reports of other entries.
+    pub(super) fn receive_limit_reports(&self, reports: &[quota::Word]) {
         let now = self.node.now();
-        for word in words {
-            if !self.state().quotas.told(now, word) {
+        for report in reports {
+            if !self.state().quotas.told(now, report) {
                 continue;
             }
-            let life = self.instance_of(word.server);
+            let life = self.instance_of(report.server);
             log_event!(self.node.log(), Event::ServerLimit,
-                "server" => life.map_or(String::new(), |one| one.to_string()),
-                "change" => word.change, "limit" => shown(word.limit), "direct" => false);
+                "server" => life.map_or(String::new(), |life| life.to_string()),
+                "change" => report.change, "limit" => limit_text(report.limit), "direct" => false);
         }
     }
 
@@ -65,7 +65,7 @@
         self.state().register.life(server).cloned()
     }
 
-    /// Logs what was sent lately to servers that name a limit. To be called each second.
+    /// Logs what was sent recently to servers that name a limit. To be called each second.
     pub(super) fn log_sent(&self) {
         let now = self.node.now();
         let mut state = self.state();
@@ -75,12 +75,12 @@
         } else {
             state.tally.servers().cloned().collect()
         };
-        let mut limited = 0;
+        let mut limited_servers = 0;
         for life in lives {
             let Some(limit) = state.quotas.limit(board::server_key(&life)) else {
                 continue;
             };
-            limited += 1;
+            limited_servers += 1;
             let sent = state.tally.lately(now, &life);
             if self.lines.allow(Event::ServerSent, now) {
                 log_event!(self.node.log(), Event::ServerSent, "server" => &life,
@@ -89,10 +89,10 @@
             }
         }
         drop(state);
-        self.counts.limited(limited);
+        self.counts.limited(limited_servers);
     }
 
-    /// Forgets limits of servers that are not known any more.
+    /// Removes the limits of servers that are no longer registered.
     pub(super) fn prune_limits(&self) {
         let now = self.node.now();
         let mut state = self.state();
@@ -103,6 +103,6 @@
     }
 }
 
-fn shown(limit: Option<quota::Rate>) -> String {
-    limit.map_or_else(|| "none".to_owned(), |one| one.per_second().to_string())
+fn limit_text(limit: Option<quota::Rate>) -> String {
+    limit.map_or_else(|| "none".to_owned(), |rate| rate.per_second().to_string())
 }
--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a request at one backend server, with those that help it read.
+//! One attempt of a request at one backend server, with the helper servers that read segments of
+//! its prompt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,48 +28,49 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Largest answer that is not a stream of events: it is held until it is whole.
-const MOST_WHOLE: usize = 16 << 20;
+/// Largest response that is not a stream of events. It is buffered until it is complete.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// How long an unsafe request's connection may have been idle: none, since a server may close
-/// it unseen, and then nobody knows whether the request ran.
-const KEPT_FOR_UNSAFE: bool = false;
+/// Whether a request that must not be repeated may use an idle connection. The server may have
+/// closed it already, and then it is not known whether the request ran.
+const REUSE_FOR_UNSAFE: bool = false;
 
-/// Pause before it is looked again whether an answer comes before this process ends.
-const LIFE_POLL: Duration = Duration::from_millis(100);
+/// Pause between two checks whether the response comes before this process exits.
+const EXIT_POLL: Duration = Duration::from_millis(100);
 
-/// Why a sent request was given up on: its server answers nothing, or not this request.
+/// Why a sent request was abandoned: its server answers nothing at all, or answers probes but not
+/// this request.
 const SILENT: &str = "silent";
-const HUNG_UP: &str = "hung";
+const HUNG: &str = "hung";
 
-/// A whole answer that is not a stream of events.
+/// A complete response that is not a stream of events.
 pub struct Complete {
-    /// Its head.
+    /// Status and headers.
     pub head: response::Parts,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// What an attempt came to.
+/// A response that can be passed on to the caller.
 pub enum Response {
-    /// A whole answer.
+    /// A complete response.
     Complete(Complete),
     /// A stream, with its first events.
     Stream {
-        /// Its head.
+        /// Status and headers.
         head: Box<response::Parts>,
-        /// The first events.
+        /// The events that came first.
         first: stream::Chunk,
-        /// The rest.
+        /// Reads the remaining events.
         reader: Box<stream::Reader>,
     },
 }
 
-/// Why an attempt gave nothing to pass on, and what could be passed on if it was the last.
+/// A failed attempt, with what can be passed on if no other follows.
 pub struct Failure {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: verdict::End,
-    /// The server's own failure.
+    /// The error response of the server.
     pub response: Option<Complete>,
 }
 
@@ -82,7 +84,7 @@
 }
 
 impl Direct {
-    /// Makes one attempt.
+    /// Makes one attempt. `after`: the id of the last event passed on, if the stream is resumed.
     pub async fn attempt(
         self: &Arc<Self>,
         context: &mut Context,
@@ -97,14 +99,14 @@
         };
         let server = assignment.server.clone();
         context.history.tried += 1;
-        let hopeless = self.hopeless(context, assignment.first_ms, after);
+        let cancelled = self.cancelled_by_exit(context, assignment.first_ms, after);
         let outcome = tokio::select! {
             biased;
             outcome = self.attempt_at(context, assignment, after) => outcome,
-            () = hopeless => Err(context.end_with_process().into()),
+            () = cancelled => Err(context.end_with_process().into()),
         };
         if let Err(failure) = &outcome {
-            self.judge(context, &server, &failure.end);
+            self.record_failure(context, &server, &failure.end);
             context.failed_servers.push(server.life);
         } else {
             let now = self.node.now();
@@ -113,9 +115,10 @@
         outcome
     }
 
-    /// Ends when a request that may be repeated, and of which its caller has nothing yet, would
-    /// not be answered before this process ends. Its caller repeats it elsewhere in time.
-    fn hopeless(
+    /// Resolves once a request would not be answered before this process exits, if it may be
+    /// repeated and nothing was passed on yet. The caller then has time to repeat it at another
+    /// entry.
+    fn cancelled_by_exit(
         &self,
         context: &Context,
         first_ms: f64,
@@ -124,7 +127,8 @@
         let is_sized = context.engine.is_some() && context.request.size.is_some();
         let may_repeat = is_sized && context.route.repeatable() && after.is_none();
         let first = Instant::now() + patience::millis(first_ms).min(context.time_left());
-        // Its prompt is being read: it is only given up if it is more likely cut than answered.
+        // The prompt is being read already. The mean cancels the request only if a cut is more
+        // likely than an answer.
         let writing = context.mean_write_time(&self.state().writing);
         let lifetime = context.lifetime.clone();
         async move {
@@ -137,7 +141,7 @@
                 if lifetime.left().is_some_and(|left| left < first + writing) {
                     return;
                 }
-                time::sleep(LIFE_POLL).await;
+                time::sleep(EXIT_POLL).await;
             }
         }
     }
@@ -153,11 +157,11 @@
         progress.reach_at(progress::Stage::Reserving, &server.life);
         let memory = self.reserve(context, &assignment).await?;
         progress.reach(progress::Stage::Connecting);
-        let kept = context.route.repeatable() || KEPT_FOR_UNSAFE;
-        let conn = self.pool.conn(&server.life, server.addr, kept).await;
+        let may_reuse = context.route.repeatable() || REUSE_FOR_UNSAFE;
+        let conn = self.pool.conn(&server.life, server.addr, may_reuse).await;
         let mut conn = conn.map_err(|_| verdict::End::Unsent)?;
-        let request = self.request(context, &assignment, memory.as_ref(), after);
-        let wait = doubt(context, assignment.first_ms);
+        let request = self.build_request(context, &assignment, memory.as_ref(), after);
+        let timeouts = silence_timeouts(context, assignment.first_ms);
         progress.reach(progress::Stage::Sent);
         let sent_at = self.record_sent(&server.life, tally::Kind::Request);
         let sent = {
@@ -165,7 +169,7 @@
             tokio::pin!(sending);
             tokio::select! {
                 sent = &mut sending => sent,
-                why = self.give_up(context, &server, wait) => match why {
+                why = self.abandoned(context, &server, timeouts) => match why {
                     Some(why) => Err(pool::Lost::Sent(why.to_owned())),
                     None => sending.await,
                 },
@@ -176,12 +180,12 @@
             Err(pool::Lost::Unsent(_)) => return Err(verdict::End::Unsent.into()),
             Err(pool::Lost::Sent(why)) => {
                 context.history.ran += 1;
-                return Err(lost(&why).into());
+                return Err(end_of_lost(&why).into());
             }
         };
         let (head, body) = response.into_parts();
         let answer = self.dialect.response(&head);
-        // Another life than the one expected tells nothing of this one.
+        // If another instance answers, its limit is not that of the expected server.
         if !answer.displaced {
             let source = if answer.sealed {
                 quota::Source::Run
@@ -190,11 +194,11 @@
             };
             self.observe_limit(&server.life, sent_at, &head.headers, source);
         }
-        self.take_answer(context, assignment, (conn, memory), head, body, wait)
+        self.read_response(context, assignment, (conn, memory), head, body, timeouts)
             .await
     }
 
-    /// Sets aside what a prompt needs of its helpers' memory.
+    /// Reserves the memory that the prompt needs at its helper servers.
     async fn reserve(
         self: &Arc<Self>,
         context: &Context,
@@ -213,14 +217,14 @@
         }
         let name = format!("{}-{}", context.request.id, context.history.tried);
         let memory = reserve::Reservation::take(self, &name, wanted).await;
-        // Without it nothing was sent: another may have taken the memory meanwhile.
+        // Another request may have taken the memory meanwhile. Nothing was sent in that case.
         memory.map(Some).ok_or(verdict::End::NotRun {
             at_fault: None,
             displaced: false,
         })
     }
 
-    fn request(
+    fn build_request(
         &self,
         context: &Context,
         assignment: &Assignment,
@@ -230,10 +234,10 @@
         let helpers: Vec<dialect::Helper> = assignment
             .helpers
             .iter()
-            .map(|one| dialect::Helper {
-                addr: one.addr,
+            .map(|helper| dialect::Helper {
+                addr: helper.addr,
                 ticket: memory
-                    .and_then(|memory| memory.ticket(one.addr))
+                    .and_then(|memory| memory.ticket(helper.addr))
                     .map(str::to_owned),
             })
             .collect();
@@ -253,14 +257,14 @@
         request
     }
 
-    async fn take_answer(
+    async fn read_response(
         self: &Arc<Self>,
         context: &mut Context,
         assignment: Assignment,
-        means: (pool::Conn, Option<reserve::Reservation>),
+        resources: (pool::Conn, Option<reserve::Reservation>),
         head: response::Parts,
         body: body::Incoming,
-        wait: patience::Doubt,
+        timeouts: patience::Doubt,
     ) -> Result<Response, Failure> {
         let answer = self.dialect.response(&head);
         if answer.not_run || answer.displaced {
@@ -274,18 +278,20 @@
             .into());
         }
         context.history.ran += 1;
-        let other = answer
+        let is_other = answer
             .id
             .as_deref()
             .is_some_and(|id| id != context.request.id);
         let success = head.status.is_success();
-        if other || answer.encoded || (success && !answer.sealed) {
+        if is_other || answer.encoded || (success && !answer.sealed) {
             return Err(verdict::End::Broken.into());
         }
         let is_stream = context.route.kind == catalog::Kind::Stream && success;
-        let mut reader = stream::Reader::new(self, assignment, means, body, &answer);
+        let mut reader = stream::Reader::new(self, assignment, resources, body, &answer);
         if !is_stream {
-            let whole = reader.collect(MOST_WHOLE, context.time_left()).await;
+            let whole = reader
+                .collect(MAX_RESPONSE_BYTES, context.time_left())
+                .await;
             let body = whole.ok_or(verdict::End::Broken)?;
             let whole = Complete { head, body };
             return if whole.head.status.is_server_error() {
@@ -297,8 +303,8 @@
             };
         }
         let next = loop {
-            let leaves = || self.may_move(context);
-            let got = time::timeout(wait.hung, reader.next(wait.quiet, leaves)).await;
+            let may_leave = || self.may_move(context);
+            let got = time::timeout(timeouts.hung, reader.next(timeouts.quiet, may_leave)).await;
             match got {
                 Ok(next) => break next,
                 Err(_) if self.should_move(context, &reader.server.life) => {
@@ -321,27 +327,27 @@
         }
     }
 
-    /// Ends when a request should leave the server that does not answer it, with the reason; or
-    /// `None` if it has to stay.
-    async fn give_up(
+    /// Resolves once a sent request should be abandoned, with the reason. `None`: it must keep
+    /// waiting at its server.
+    async fn abandoned(
         &self,
         context: &Context,
         server: &register::Record,
-        wait: patience::Doubt,
+        timeouts: patience::Doubt,
     ) -> Option<&'static str> {
         let hung = async {
             loop {
-                time::sleep(wait.hung).await;
+                time::sleep(timeouts.hung).await;
                 if self.has_better_server(context, &server.life) {
                     return;
                 }
             }
         };
         let why = tokio::select! {
-            () = self.dead(server, wait.quiet) => SILENT,
-            () = hung => HUNG_UP,
+            () = self.dead(server, timeouts.quiet) => SILENT,
+            () = hung => HUNG,
         };
-        // It has been sent, so it counts as one that may have run.
+        // The request was sent, so this attempt may have run.
         let mut history = context.history;
         history.ran += 1;
         let may = verdict::again(
@@ -353,8 +359,13 @@
         (may && self.spend_retry(&context.service)).then_some(why)
     }
 
-    /// Draws conclusions from an attempt that failed.
-    fn judge(self: &Arc<Self>, context: &Context, server: &register::Record, end: &verdict::End) {
+    /// Logs and counts a failed attempt, and updates the health of the servers at fault.
+    fn record_failure(
+        self: &Arc<Self>,
+        context: &Context,
+        server: &register::Record,
+        end: &verdict::End,
+    ) {
         let now = self.node.now();
         self.counts.attempt(&context.service, end_name(end));
         if self.lines.allow(Event::AttemptEnded, now) {
@@ -384,8 +395,8 @@
     }
 }
 
-/// How long an attempt waits before it doubts its server.
-fn doubt(context: &Context, first_ms: f64) -> patience::Doubt {
+/// How long the server may be silent before an attempt probes it or leaves it.
+fn silence_timeouts(context: &Context, first_ms: f64) -> patience::Doubt {
     let alone = context.engine.zip(context.request.size);
     let alone_ms = alone.map_or(0.0, |(engine, size)| engine.read_ms(size.prompt, 1));
     let can_move =
@@ -398,11 +409,11 @@
     )
 }
 
-/// What the end of a sent attempt without an answer was.
-fn lost(why: &str) -> verdict::End {
+/// How an attempt ended that was sent and got no response.
+fn end_of_lost(why: &str) -> verdict::End {
     match why {
         SILENT => verdict::End::Silent,
-        HUNG_UP => verdict::End::Slow,
+        HUNG => verdict::End::Slow,
         _ => verdict::End::Broken,
     }
 }
@@ -422,8 +433,8 @@
     }
 }
 
-/// Path and query alone, as a server takes them.
+/// Path and query only, as a request line to an origin server has them.
 fn origin_form(uri: &http::Uri) -> http::Uri {
-    let path = uri.path_and_query().map_or("/", |one| one.as_str());
+    let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| http::Uri::from_static("/"))
 }
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -1,5 +1,5 @@
-//! Where an attempt goes: servers in good standing, their work as known here, and the line of
-//! long prompts that wait for their turn.
+//! Chooses the backend servers of an attempt by their health and their load as known here, and
+//! queues long prompts until it is their turn.
 
 use std::sync::Arc;
 use std::sync::MutexGuard;
@@ -24,44 +24,45 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Pauses before a short request looks again for a server that is not full.
+/// Pauses between two searches of a request for a server that is not full: before its objective
+/// has passed, and after.
 const FULL_PAUSE: Duration = Duration::from_millis(40);
 const FULL_PAUSE_LATE: Duration = Duration::from_millis(150);
 
-/// Where a long prompt may be read.
+/// Which servers may read a long prompt.
 #[derive(Clone, Copy)]
 enum Reading {
-    /// Only beside writers, on servers with room for it.
+    /// Only servers with capacity to read it while they generate other responses.
     Beside,
-    /// There, or by its turn on the lane of reading.
+    /// Those, and when it is the prompt's turn the servers kept for reading long prompts.
     Lane,
 }
 
-/// Where a request goes, if anywhere yet.
+/// Outcome of one search for servers.
 enum Choice {
-    /// There.
+    /// Servers are assigned.
     Now(Box<Assignment>),
-    /// It waits for its turn.
+    /// The servers still read other prompts: it waits for its turn.
     Later,
-    /// It waits for memory, or for more servers: what is free now would read it too slowly.
-    /// Others need not wait for that.
+    /// It waits for memory, or for more free servers: those free now would read it too slowly.
+    /// Other prompts need not wait for it.
     NotNow,
-    /// All servers are so full that its first event would be late.
+    /// All servers are so loaded that its first event would be late.
     Full,
     /// No server is known.
     Nowhere,
-    /// This process would end before the answer.
+    /// This process would exit before the response is complete.
     Ending,
 }
 
-/// A request's place on the board, given back when it is dropped.
+/// The load of one request as accounted for by this entry. Dropping it removes the load.
 pub struct Guard {
     direct: Arc<Direct>,
     ticket: board::Ticket,
 }
 
 impl Guard {
-    /// The first event came.
+    /// Records that the first event arrived: the prompt is read, the response is being generated.
     pub fn start_writing(&self) {
         self.direct.state().board.wrote(self.ticket);
         self.direct.loads_changed.notify_one();
@@ -76,22 +77,22 @@
     }
 }
 
-/// Where an attempt goes.
+/// The servers assigned to an attempt.
 pub struct Assignment {
-    /// The server.
+    /// The server that generates the response.
     pub server: register::Record,
-    /// Servers that help it read.
+    /// Helper servers that read segments of the prompt.
     pub helpers: Vec<register::Record>,
-    /// Tokens of memory to set aside at each of those.
+    /// Tokens of memory to reserve at each helper server.
     pub reserved_tokens: Vec<u64>,
-    /// Milliseconds until the first event, as predicted. 0: not predicted.
+    /// Predicted milliseconds until the first event. 0: not predicted.
     pub first_ms: f64,
-    /// Its place on the board.
+    /// Keeps the load of the request accounted for.
     pub guard: Guard,
 }
 
 impl Direct {
-    /// Chooses servers for a request and takes a place on the board there.
+    /// Searches once for servers, and accounts for the load of the request if it finds them.
     fn choose(self: &Arc<Self>, context: &Context, reading: Reading) -> Choice {
         let now = self.node.now();
         let mut state = self.state();
@@ -126,7 +127,7 @@
         ))
     }
 
-    /// Takes a request's place on the board.
+    /// Assigns a request to the servers of `place`, and accounts for its load there.
     pub(super) fn assign(
         self: &Arc<Self>,
         mut state: MutexGuard<'_, super::State>,
@@ -149,12 +150,15 @@
             .iter()
             .copied()
             .zip(place.aside.iter().copied());
-        let assignment = std::iter::once((place.first, own)).chain(helpers);
+        let chosen = std::iter::once((place.first, own)).chain(helpers);
         let claim = board::Claim {
-            parts: assignment.map(part).collect(),
+            parts: chosen.map(part).collect(),
             prompt,
             answer: context.expected_answer(),
-            bound_ms: context.route.pause.map_or(0, |one| one.as_millis() as u32),
+            bound_ms: context
+                .route
+                .pause
+                .map_or(0, |pause| pause.as_millis() as u32),
             is_long: place.takes_turn,
             reads: (now, now + patience::millis(place.first_ms)),
         };
@@ -175,7 +179,7 @@
                 "helpers" => place.helpers.iter().map(|at| records[*at].life.to_string()).collect::<Vec<_>>().join(","), "first_ms" => place.first_ms as u64,
                 "writers" => load.writers, "readers" => load.readers, "backlog_ms" => load.backlog_ms,
                 "limit" => limit, "objective_ms" => context.route.objective.as_millis() as u64,
-                "bound_ms" => context.route.pause.map_or(0, |one| one.as_millis() as u64),
+                "bound_ms" => context.route.pause.map_or(0, |pause| pause.as_millis() as u64),
                 "tried" => context.history.tried, "waited_ms" => context.began.elapsed().as_millis() as u64,
                 "left_ms" => context.time_left().as_millis() as u64);
         }
@@ -192,12 +196,13 @@
         }
     }
 
-    /// Whether a request that waits for `server`, which is there, had better go elsewhere.
+    /// Whether another server would serve a request enough sooner than `server`, which is alive but
+    /// has not answered it yet.
     pub(super) fn has_better_server(&self, context: &Context, server: &register::Life) -> bool {
         let now = self.node.now();
         let mut state = self.state();
         let standing::Candidates { mut records, part } = standing::candidates(&state, now, context);
-        records.retain(|one| one.life != *server);
+        records.retain(|record| record.life != *server);
         if records.is_empty() {
             return false;
         }
@@ -206,9 +211,9 @@
         let writing = context.write_time_bound(&state.writing);
         drop(state);
         let place = locate(context, &servers, any_waits);
-        let is_better = place.is_some_and(|one| {
-            one.is_worth_moving(context.route.objective)
-                && context.completes_before_exit(one.first_ms, writing)
+        let is_better = place.is_some_and(|place| {
+            place.is_worth_moving(context.route.objective)
+                && context.completes_before_exit(place.first_ms, writing)
         });
         if !is_better && self.lines.allow(Event::RequestStays, now) {
             log_event!(self.node.log(), Event::RequestStays, "request" => &context.request.id,
@@ -217,7 +222,7 @@
         is_better
     }
 
-    /// What is known of servers of one part of the fleet, for placing.
+    /// Load and health of servers of one subset of the fleet, as placement needs them.
     pub(super) fn servers(
         &self,
         state: &mut super::State,
@@ -227,22 +232,22 @@
     ) -> Vec<place::Server> {
         let zone = &self.node.settings().zone;
         let view = state.board.view_of(now, part);
-        let server = |one: &register::Record| {
-            let key = board::server_key(&one.life);
+        let server = |record: &register::Record| {
+            let key = board::server_key(&record.life);
             place::Server {
                 key,
-                near: one.zone == *zone,
-                slots: one.slots,
+                near: record.zone == *zone,
+                slots: record.slots,
                 load: view.get(&key).copied().unwrap_or_default(),
-                pace: state.healths.pace(&one.life),
-                failing: state.healths.failing(now, &one.life),
+                pace: state.healths.pace(&record.life),
+                failing: state.healths.failing(now, &record.life),
             }
         };
         records.iter().map(server).collect()
     }
 
-    /// Whether a long prompt that has no place is told to come back, since too many wait.
-    fn turns_away(&self, context: &Context) -> bool {
+    /// Whether a long prompt without a server is rejected with a retry-after because too many wait.
+    fn sheds(&self, context: &Context) -> bool {
         let Some(engine) = context.engine.filter(|_| context.history.tried == 0) else {
             return false;
         };
@@ -270,14 +275,14 @@
         true
     }
 
-    /// Whether a request that has no place yet may have one in time before this process ends.
-    fn may_wait_here(&self, context: &Context) -> bool {
+    /// Whether a request without a server may still complete before this process exits.
+    fn may_complete_here(&self, context: &Context) -> bool {
         let first_ms = context.min_first_ms();
         let writing = context.write_time_bound(&self.state().writing);
         context.completes_before_exit(first_ms, writing)
     }
 
-    /// Chooses servers for a request, once it is its turn and there is memory for it.
+    /// Waits until it is the turn of a request and there is memory for it, and assigns servers.
     pub(super) async fn choose_in_turn(
         self: &Arc<Self>,
         context: &Context,
@@ -285,7 +290,7 @@
         context.progress.reach(progress::Stage::Waiting);
         let is_long = context
             .engine
-            .is_some_and(|one| place::is_long(&one, &context.need()));
+            .is_some_and(|engine| place::is_long(&engine, &context.need()));
         if is_long && let Choice::Now(assignment) = self.choose(context, Reading::Beside) {
             return Ok(*assignment);
         }
@@ -294,17 +299,17 @@
         }
         let mut turn = turn::Turn::new(self);
         loop {
-            if self.turns_away(context) {
+            if self.sheds(context) {
                 return Err(verdict::End::Away);
             }
-            if turn.has_come(context) {
+            if turn.is_next(context) {
                 match self.choose(context, Reading::Lane) {
                     Choice::Now(assignment) => return Ok(*assignment),
                     Choice::Ending => return Err(verdict::End::Ending),
-                    Choice::Nowhere => return self.choose_only(context).await,
+                    Choice::Nowhere => return self.choose_only_limited(context).await,
                     Choice::Later => turn.wait(context),
                     Choice::NotNow => turn.leave(),
-                    Choice::Full if !self.may_wait_here(context) => {
+                    Choice::Full if !self.may_complete_here(context) => {
                         return Err(verdict::End::Ending);
                     }
                     Choice::Full => {
@@ -322,26 +327,29 @@
             if !context.may_wait_for_server() {
                 return Err(verdict::End::Unsent);
             }
-            if !self.may_wait_here(context) {
+            if !self.may_complete_here(context) {
                 return Err(verdict::End::Ending);
             }
-            time::sleep(turn.pause()).await;
+            time::sleep(turn.poll_interval()).await;
         }
     }
 
-    /// Chooses a server where there are none but those that name a limit, if any.
-    async fn choose_only(self: &Arc<Self>, context: &Context) -> Result<Assignment, verdict::End> {
+    /// Chooses a server if the only servers are those that name a limit, or none at all.
+    async fn choose_only_limited(
+        self: &Arc<Self>,
+        context: &Context,
+    ) -> Result<Assignment, verdict::End> {
         match self.choose_limited(context, Reason::OnlyLimited).await {
             Ok(Some(assignment)) => Ok(assignment),
             Ok(None) if context.lifetime.is_ending() => Err(verdict::End::Ending),
             Ok(None) => Err(verdict::End::Unsent),
-            Err(come_back) => Err(verdict::End::Limited(come_back)),
+            Err(retry_after) => Err(verdict::End::Limited(retry_after)),
         }
     }
 }
 
-/// Pause before a request looks again for a server that is not full: who is late already leaves
-/// what becomes free to those that are not.
+/// Pause between two searches for a server that is not full. Requests that are late already search
+/// less often, so that free capacity goes to those that can still be on time.
 fn full_pause(context: &Context) -> Duration {
     if context.began.elapsed() > context.route.objective {
         FULL_PAUSE_LATE
@@ -350,13 +358,14 @@
     }
 }
 
-/// Finds the place of a long prompt among `servers` that have room for it beside their writers.
+/// Finds a place for a long prompt on `servers` that can read it while they generate other
+/// responses.
 fn beside(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
     let engine = context.engine.as_ref()?;
     place::without_turn(engine, &context.need(), servers, any_waits)
 }
 
-/// Finds the place of a request among `servers`.
+/// Finds a place for a request on `servers`.
 fn locate(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
     let alone = |first: usize, first_ms: f64| place::Place {
         first_ms,
@@ -368,7 +377,8 @@
     };
     let need = context.need();
     let placed = place::engine(engine, &need, servers, any_waits);
-    // Nowhere is memory as far as known. For a short prompt the servers themselves know better.
+    // As far as known here, no server has memory. A short prompt is sent all the same: the server
+    // decides by its actual memory.
     let is_short = size.prompt <= engine.usual_prompt;
     placed.or_else(|| {
         let at = place::plain(servers, context.need().draw).filter(|_| is_short)?;
--- a/src/edge/direct/context.rs
+++ b/src/edge/direct/context.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way.
+//! The state of one caller's request, shared by all its attempts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,55 +19,53 @@
 use crate::edge::lifetime;
 use crate::wire::id;
 
-/// A caller's request on its way.
+/// A caller's request with its route and the outcome of its attempts so far.
 pub struct Context {
-    /// What the caller asks.
+    /// The caller's request as decoded from its head.
     pub request: dialect::Request,
-    /// Its head, as it came.
+    /// The request head as received.
     pub head: request::Parts,
-    /// Its body.
     pub body: Bytes,
-    /// Its route.
     pub route: catalog::Route,
-    /// Service that the route led to.
+    /// Service that the route selected.
     pub service: String,
-    /// Time model of that service's engines.
+    /// Time model of that service's engines. `None`: the service runs no model.
     pub engine: Option<model::Engine>,
     /// Workspace of the caller.
     pub workspace: Option<String>,
-    /// Rank.
+    /// Priority, 0 first.
     pub priority: u8,
-    /// When it came.
+    /// When the request arrived.
     pub began: Instant,
-    /// When its time is over.
     pub deadline: Instant,
-    /// What it has behind it.
+    /// Counts of its attempts so far.
     pub history: verdict::Past,
-    /// Servers at which it failed.
+    /// Servers at which an attempt of it failed.
     pub failed_servers: Vec<register::Life>,
-    /// Equal for equal requests.
+    /// Hash of workspace, host, URI and body: equal for equal requests.
     pub fingerprint: id::Fingerprint,
-    /// Version of the configuration that it follows.
+    /// Version of the configuration that routed it.
     pub version: u64,
-    /// How far it is.
+    /// The stage that it is in, for logs and metrics.
     pub progress: progress::Progress,
-    /// How long this process goes on.
+    /// When this process exits, once it was told to stop.
     pub lifetime: lifetime::Lifetime,
 }
 
 impl Context {
-    /// Time that is left of its caller's time and of this process's.
+    /// Time until its deadline or the exit of this process, whichever comes first.
     pub fn time_left(&self) -> Duration {
         let own = self.caller_time_left();
-        self.lifetime.left().map_or(own, |life| own.min(life))
+        self.lifetime.left().map_or(own, |exit| own.min(exit))
     }
 
-    /// Time that is left of its caller's time.
+    /// Time until its deadline.
     fn caller_time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// How it ends if it is given up since this process ends.
+    /// Cancels the attempt in progress because this process exits. One that was sent counts as
+    /// having run.
     pub fn end_with_process(&mut self) -> verdict::End {
         if self.progress.lock().stage == progress::Stage::Sent {
             self.history.ran += 1;
@@ -75,17 +73,17 @@
         verdict::End::Ending
     }
 
-    /// Time within which the rest of its answer is most likely written.
+    /// Time within which the rest of its response is most likely generated.
     pub fn write_time_bound(&self, known: &writing::Writing) -> Duration {
         known.most(&self.service, self.modelled_write_time())
     }
 
-    /// The same on average.
+    /// Average time to generate the rest of its response.
     pub fn mean_write_time(&self, known: &writing::Writing) -> Duration {
         known.mean(&self.service, self.modelled_write_time())
     }
 
-    /// Time to write the rest of its answer, by the time model.
+    /// Time to generate the rest of its response, by the engine's time model.
     fn modelled_write_time(&self) -> Duration {
         let (Some(engine), Some(size)) = (&self.engine, self.request.size) else {
             return Duration::ZERO;
@@ -95,8 +93,9 @@
         patience::writing(engine, size.prompt, rest)
     }
 
-    /// Whether its answer would be whole before this process ends, if its first event comes after
-    /// `first_ms`. A call is expected to take no longer than its objective.
+    /// Whether its response would be complete before this process exits, if its first event comes
+    /// after `first_ms`. Without sizes or a time model, the request is expected to take no
+    /// longer than the objective of its route.
     pub fn completes_before_exit(&self, first_ms: f64, writing: Duration) -> bool {
         let first = match self.engine.zip(self.request.size) {
             Some(_) => patience::millis(first_ms),
@@ -105,52 +104,52 @@
         self.wait().ends_in_life(first, writing)
     }
 
-    /// Whether a request that has no place yet may have one in time.
+    /// Whether a request without a server may still be assigned one in time.
     pub fn may_wait_for_server(&self) -> bool {
         let engine = self.engine.filter(|_| self.request.size.is_some());
         engine.is_some_and(|engine| self.wait().may_go_on(&engine, &self.need()))
     }
 
-    /// Whether a long prompt would be answered in time at `place`.
+    /// Whether the deadline can be met at `place`. Checked for long prompts only.
     pub fn meets_deadline_at(&self, place: &place::Place) -> bool {
         let need = self.need();
-        let engine = self.engine.filter(|one| place::is_long(one, &need));
+        let engine = self.engine.filter(|engine| place::is_long(engine, &need));
         let first = patience::millis(place.first_ms);
         engine.is_none_or(|engine| self.wait().allows(&engine, &need, first))
     }
 
-    /// Least milliseconds to its first event.
+    /// Least time to its first event in milliseconds, by the time model.
     pub fn min_first_ms(&self) -> f64 {
         let engine = self.engine.filter(|_| self.request.size.is_some());
         let fastest = engine.map(|engine| patience::fastest(&engine, &self.need()));
         fastest.unwrap_or_default().as_secs_f64() * 1e3
     }
 
-    /// Whether it may wait at the entry while all servers are full.
+    /// Whether it may wait at this entry while all servers are full.
     pub fn may_wait_at_entry(&self) -> bool {
         let engine = self.engine.filter(|_| self.request.size.is_some());
         self.history.tried == 0
             && engine.is_some_and(|engine| self.wait().may_hold(&engine, &self.need()))
     }
 
-    /// How long it has waited for its first event, and may.
+    /// How long it has waited for its first event, and how long it may.
     pub fn wait(&self) -> patience::Wait {
         let wait = patience::Wait::new(&self.route, self.began.elapsed(), self.caller_time_left());
         wait.within(self.lifetime.left())
     }
 
-    /// What placing has to know of a request.
+    /// The properties of the request that placement depends on.
     pub fn need(&self) -> place::Need {
         place::Need {
             prompt: self.request.size.map_or(0, |size| size.prompt),
             answer: self.expected_answer(),
             aim: self.route.objective.saturating_sub(self.began.elapsed()),
-            bound_ms: self.route.pause.map_or(0, |one| one.as_millis() as u32),
+            bound_ms: self.route.pause.map_or(0, |pause| pause.as_millis() as u32),
             draw: board::key(&self.request.id),
         }
     }
 
-    /// Tokens that an answer is expected to have: the caller's hint, within what it allows.
+    /// Expected tokens of the response: the caller's hint, at most the caller's limit.
     pub fn expected_answer(&self) -> u64 {
         let Some(size) = self.request.size else {
             return 0;
--- a/src/edge/direct/dialect.rs
+++ b/src/edge/direct/dialect.rs
@@ -1,5 +1,5 @@
-//! What callers and backend servers speak, decoded once. Whoever brings the entry to a platform
-//! implements [`Dialect`]; nothing else knows the platform's names.
+//! Decodes and encodes the HTTP conventions of a platform. Each platform implements [`Dialect`];
+//! nothing else knows its header names and paths.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,130 +11,131 @@
 use crate::direct::quota;
 use crate::direct::register;
 
-/// The sizes of a request to a model, as its caller gives them.
+/// Sizes of a request to a model as given by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Largest number of tokens of the answer.
     pub max_answer: u64,
-    /// Tokens that the caller expects of the answer. Often far off.
+    /// Tokens of the answer as the caller expects them. Often far off.
     pub answer_hint: Option<u64>,
 }
 
-/// A caller's request.
+/// The head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
-    /// Id of this attempt of the caller.
+    /// Id that the caller gave to this attempt of its request.
     pub id: String,
-    /// Host that it is for.
+    /// Host without a port.
     pub host: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
-    /// Sizes, if it is for a model.
+    /// Sizes, if the request is for a model.
     pub size: Option<Size>,
-    /// Last event that the caller has of a stream that it goes on with.
+    /// Id of the last event that the caller received of a stream that it resumes.
     pub last_event_id: Option<String>,
 }
 
-/// A server that reads a part of the prompt, with the reservation of its memory.
+/// A helper server that reads a segment of the prompt, with the reservation of its memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Helper {
-    /// Where it listens.
+    /// Address of the helper server.
     pub addr: SocketAddr,
-    /// Reservation that holds its part. `None`: the first server holds it.
+    /// Reservation for its segment. `None`: the server that generates the answer holds the segment.
     pub ticket: Option<String>,
 }
 
-/// What one attempt adds to a caller's request.
+/// What an attempt adds to the headers of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
-    /// Id of this attempt of the caller.
+    /// The caller's id of the request.
     pub id: &'a str,
-    /// The server it is for.
+    /// The server that the request is sent to.
     pub server: &'a register::Record,
-    /// Time that is left.
+    /// Time until the deadline.
     pub time_left: Duration,
     /// Workspace of the caller.
     pub workspace: Option<&'a str>,
-    /// Rank, 0 first.
+    /// Priority, 0 first.
     pub priority: u8,
-    /// Servers that help to read.
+    /// Helper servers that read segments of the prompt.
     pub helpers: &'a [Helper],
-    /// Last event that was passed on.
+    /// Id of the last event passed on to the caller, if the stream is resumed.
     pub last_event_id: Option<&'a str>,
 }
 
-/// What the head of a backend server's answer says.
+/// The head of a backend server's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Request that it answers.
+    /// Id of the request that it answers.
     pub id: Option<String>,
-    /// Whether it bears the server's signature.
+    /// Whether it carries the signature of the backend server.
     pub sealed: bool,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether another life than the one expected answers.
+    /// Whether another instance than the expected one answers at this address.
     pub displaced: bool,
-    /// Address of the server at fault, if it is another one.
+    /// Address of the server at fault, if it is another server.
     pub at_fault: Option<String>,
-    /// Whether the body is encoded, which nobody asked for.
+    /// Whether the body has a content encoding, which was not asked for.
     pub encoded: bool,
-    /// Time that the connection may be idle.
+    /// How long the server keeps the idle connection open.
     pub keep_alive: Option<Duration>,
-    /// Whether the connection ends with this answer.
+    /// Whether the connection closes after this response.
     pub closes: bool,
 }
 
-/// What a backend server tells of itself.
+/// A backend server's report on its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests that wait.
+    /// Requests in its queue.
     pub queued: u32,
-    /// Requests that it serves.
+    /// Requests that it runs.
     pub active: u32,
-    /// Factor by which it is slower than its model.
+    /// Factor by which it is slower than its time model.
     pub pace: f64,
-    /// Its start in milliseconds since 1970, if it tells.
+    /// Unix time of its start in milliseconds, if reported.
     pub started_ms: Option<u64>,
 }
 
-/// What becomes of a reservation.
+/// Outcome of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reserved {
-    /// Held.
+    /// The memory is reserved.
     Held,
-    /// Waits for memory.
+    /// It waits for memory.
     Waiting,
-    /// Refused.
+    /// Rejected.
     Refused,
 }
 
-/// The language of a platform.
+/// The HTTP conventions of a platform.
 pub trait Dialect: Send + Sync + 'static {
-    /// Decodes a caller's request.
+    /// Decodes the head of a caller's request.
     fn request(&self, head: &request::Parts) -> Request;
 
-    /// Headers with which a caller's request goes to a backend server.
+    /// Headers of the request that an attempt sends to a backend server.
     fn attempt_headers(&self, head: &request::Parts, attempt: &Attempt<'_>) -> HeaderMap;
 
-    /// Decodes the head of a backend server's answer.
+    /// Decodes the head of a backend server's response.
     fn response(&self, head: &response::Parts) -> Response;
 
-    /// What the headers of any answer of a backend server say of the limit on what it takes.
+    /// Decodes the rate limit that a backend server names in the headers of any response.
     fn limit(&self, headers: &HeaderMap) -> quota::Named;
 
-    /// Path of a backend server's report on itself.
+    /// Path of the load report of a backend server.
     fn report_path(&self) -> &'static str;
 
-    /// Decodes such a report.
+    /// Decodes the body of a load report.
     fn report(&self, body: &[u8]) -> Option<Report>;
 
-    /// Path and body of the order that sets memory aside under `ticket`.
+    /// Path and body of the order that reserves memory under `ticket`. The reservation expires after
+    /// `hold`.
     fn reserve(&self, ticket: &str, tokens: u64, hold: Duration) -> (&'static str, Vec<u8>);
 
-    /// Path and body of the order that ends a reservation.
+    /// Path and body of the order that releases the reservation `ticket`.
     fn release(&self, ticket: &str) -> (&'static str, Vec<u8>);
 }
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -1,4 +1,5 @@
-//! Grants for servers that name a limit: asked for, given, waited for.
+//! Grants to send requests to backend servers that name a limit. For each service one entry grants;
+//! the others ask it and wait until their grant is due.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,49 +25,49 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Time for another process to answer whether it grants: some round trips between zones, and its
-/// thread's other work.
+/// Timeout of a grant request to another entry: some round trips between availability zones, and
+/// delay by other work of its thread.
 const ASK_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How long a process that did not answer is passed over.
-const PASSED_OVER: Duration = Duration::from_millis(500);
+/// How long an entry that did not answer a grant request is skipped.
+const SKIP_TIME: Duration = Duration::from_millis(500);
 
-/// Processes that are asked for one request: the one that grants, and its deputy.
-const MOST_ASKED: usize = 2;
+/// Entries asked for one grant: the grantor, and its deputy.
+const MAX_GRANTORS: usize = 2;
 
-/// Servers that are named when a grant is asked for: a datagram holds them with ease.
-const MOST_NAMED: usize = 16;
+/// Servers named in a grant request. They fit into one datagram.
+const MAX_SERVERS: usize = 16;
 
-/// Longest wait for a grant while other servers are there, but full.
-const WAIT_BESIDE: Duration = Duration::from_millis(100);
+/// Longest wait for a grant while there are servers without a limit, all of them full.
+const OTHERS_FULL_WAIT: Duration = Duration::from_millis(100);
 
-/// How long nobody asks again for a service whose servers with a limit take nothing now, while
-/// other servers are there.
-const DENIED_FOR: Duration = Duration::from_millis(100);
+/// How long no grant is requested for a service after one was denied, while it has servers without
+/// a limit.
+const DENIED_TIME: Duration = Duration::from_millis(100);
 
-/// Why a request would go to a server that names a limit.
+/// Why a request may go to a server that names a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reason {
-    /// The server takes it at once, and it is on time there.
+    /// The server takes the request at once and serves it on time.
     HasCapacity,
-    /// The others are full.
+    /// All servers without a limit are full.
     OthersFull,
-    /// There is no other.
+    /// There is no server without a limit.
     OnlyLimited,
 }
 
-/// What is asked of other processes.
+/// Grant requests to other entries.
 #[derive(Default)]
 pub(super) struct Requests {
-    last: u64,
+    last_number: u64,
     pending: HashMap<u64, oneshot::Sender<gossip::Grant>>,
-    /// Until when a process that did not answer is passed over.
-    passed_over: HashMap<SocketAddr, Duration>,
-    /// Until when nobody asks for a service beside other servers.
+    /// Until when an entry that did not answer is skipped.
+    skipped: HashMap<SocketAddr, Duration>,
+    /// Until when no grant is requested for a service that has servers without a limit.
     denied: HashMap<String, Duration>,
 }
 
-/// A server that names a limit, with the place that a request would have there.
+/// A server that names a limit, with the place of the request on it.
 struct Candidate {
     record: register::Record,
     server: place::Server,
@@ -74,8 +75,12 @@
 }
 
 impl Direct {
-    /// Chooses a server that names a limit, and waits until it may be sent the request. `Ok(None)`:
-    /// none of them would do. `Err`: they take no more now; when to come back.
+    /// Chooses a server that names a limit, and waits until the request may be sent to it.
+    /// `Ok(None)`: none is suitable.
+    ///
+    /// # Errors
+    ///
+    /// If the grant is denied: the time after which to retry.
     pub(super) async fn choose_limited(
         self: &Arc<Self>,
         context: &Context,
@@ -84,44 +89,51 @@
         if self.state().quotas.is_empty() || self.is_denied(context, reason) {
             return Ok(None);
         }
-        let mut candidates = self.limited(context, reason);
+        let mut candidates = self.candidates(context, reason);
         if candidates.is_empty() {
             return Ok(None);
         }
-        let servers: Vec<u64> = candidates.iter().map(|one| one.server.key).collect();
-        let most = match reason {
+        let servers: Vec<u64> = candidates
+            .iter()
+            .map(|candidate| candidate.server.key)
+            .collect();
+        let max_wait = match reason {
             Reason::HasCapacity => Duration::ZERO,
-            Reason::OthersFull => WAIT_BESIDE,
+            Reason::OthersFull => OTHERS_FULL_WAIT,
             Reason::OnlyLimited => context.wait().for_grant(),
         };
-        let slot = match self.granted(&context.service, &servers, most).await {
+        let slot = match self
+            .request_grant(&context.service, &servers, max_wait)
+            .await
+        {
             Ok(slot) => slot,
-            Err(come_back) => {
-                self.denied(context, reason, servers.len(), come_back);
-                return Err(come_back);
+            Err(retry_after) => {
+                self.record_denial(context, reason, servers.len(), retry_after);
+                return Err(retry_after);
             }
         };
-        candidates.retain(|one| one.server.key == slot.server);
-        let Some(one) = candidates.pop() else {
+        candidates.retain(|candidate| candidate.server.key == slot.server);
+        let Some(candidate) = candidates.pop() else {
             return Ok(None);
         };
         time::sleep(slot.wait).await;
-        let (records, servers) = ([one.record], [one.server]);
-        let assignment = self.assign(self.state(), context, &records, &servers, one.place);
+        let (records, servers) = ([candidate.record], [candidate.server]);
+        let assignment = self.assign(self.state(), context, &records, &servers, candidate.place);
         Ok(Some(assignment))
     }
 
-    /// Servers that name a limit and would do, the best first.
-    fn limited(&self, context: &Context, reason: Reason) -> Vec<Candidate> {
+    /// Suitable servers that name a limit, the best first.
+    fn candidates(&self, context: &Context, reason: Reason) -> Vec<Candidate> {
         let now = self.node.now();
         let is_grantor = self.grantors(&context.service).first() == Some(&self.me());
         let mut state = self.state();
-        let other = reason != Reason::OnlyLimited;
-        let mut records = standing::limited(&state, now, context, other);
+        let has_others = reason != Reason::OnlyLimited;
+        let mut records = standing::limited(&state, now, context, has_others);
         if reason == Reason::HasCapacity {
-            // Others may ask as well once nobody knows whether the limit goes on.
-            records.retain(|one| {
-                let server = board::server_key(&one.life);
+            // Only the grantor knows whether a server is free. Once it is unknown whether the limit
+            // is still in force, any entry may try.
+            records.retain(|record| {
+                let server = board::server_key(&record.life);
                 let is_free = is_grantor && state.quotas.is_free(now, server);
                 is_free || state.quotas.is_stale(now, server)
             });
@@ -134,7 +146,7 @@
         drop(state);
         let all = records.into_iter().zip(servers);
         let all = all.filter_map(|(record, server)| {
-            let place = lone_place(context, &server, reason)?;
+            let place = single_place(context, &server, reason)?;
             if !context.completes_before_exit(place.first_ms, writing) {
                 return None;
             }
@@ -146,34 +158,36 @@
         });
         let mut candidates: Vec<Candidate> = all.collect();
         let draw = context.need().draw;
-        candidates.sort_by_key(|one| (one.place.first_ms as u64, one.server.key ^ draw));
-        candidates.truncate(MOST_NAMED);
+        candidates.sort_by_key(|candidate| {
+            (candidate.place.first_ms as u64, candidate.server.key ^ draw)
+        });
+        candidates.truncate(MAX_SERVERS);
         candidates
     }
 
-    /// Asks for a grant, of this process itself if it is the one that grants.
-    async fn granted(
+    /// Gets a grant from the grantor of `service`, which may be this entry, or from its deputy.
+    async fn request_grant(
         &self,
         service: &str,
         servers: &[u64],
-        most: Duration,
+        max_wait: Duration,
     ) -> Result<quota::Slot, Duration> {
         let now = self.node.now();
         let mut grantors = self.grantors(service);
         {
             let requests = self.grant_requests();
-            grantors.retain(|one| {
+            grantors.retain(|grantor| {
                 requests
-                    .passed_over
-                    .get(one)
+                    .skipped
+                    .get(grantor)
                     .is_none_or(|until| now >= *until)
             });
         }
-        for grantor in grantors.into_iter().take(MOST_ASKED) {
+        for grantor in grantors.into_iter().take(MAX_GRANTORS) {
             if grantor == self.me() {
-                return self.grant(service, servers, most);
+                return self.grant(service, servers, max_wait);
             }
-            if let Some(grant) = self.ask(grantor, service, servers, most).await {
+            if let Some(grant) = self.ask(grantor, service, servers, max_wait).await {
                 self.counts.granted(grant.server.is_some());
                 return match grant.server {
                     Some(server) => Ok(quota::Slot {
@@ -184,8 +198,8 @@
                 };
             }
             self.counts.unanswered();
-            let until = self.node.now() + PASSED_OVER;
-            self.grant_requests().passed_over.insert(grantor, until);
+            let until = self.node.now() + SKIP_TIME;
+            self.grant_requests().skipped.insert(grantor, until);
         }
         Err(quota::COME_BACK)
     }
@@ -195,26 +209,28 @@
         grantor: SocketAddr,
         service: &str,
         servers: &[u64],
-        most: Duration,
+        max_wait: Duration,
     ) -> Option<gossip::Grant> {
         let (tx, rx) = oneshot::channel();
         let number = {
             let mut requests = self.grant_requests();
-            requests.last += 1;
-            let number = requests.last;
+            requests.last_number += 1;
+            let number = requests.last_number;
             requests.pending.insert(number, tx);
             number
         };
-        let words = {
+        let reports = {
             let state = self.state();
-            let words = servers.iter().filter_map(|one| state.quotas.word(*one));
-            words.collect()
+            let reports = servers
+                .iter()
+                .filter_map(|server| state.quotas.word(*server));
+            reports.collect()
         };
         let ask = gossip::Ask {
             number,
             service: service.to_owned(),
-            words,
-            most,
+            words: reports,
+            most: max_wait,
         };
         self.tell_one(grantor, gossip::News::Ask(ask));
         let granted = time::timeout(ASK_TIMEOUT, rx).await;
@@ -226,7 +242,7 @@
         &self,
         service: &str,
         servers: &[u64],
-        most: Duration,
+        max_wait: Duration,
     ) -> Result<quota::Slot, Duration> {
         let now = self.node.now();
         let account = if self.grantors(service).first() == Some(&self.me()) {
@@ -235,30 +251,31 @@
             quota::Account::Deputy
         };
         let mut state = self.state();
-        state.quotas.grant(now, service, servers, most, account)
+        state.quotas.grant(now, service, servers, max_wait, account)
     }
 
-    /// Answers another process that asks for a grant.
+    /// Answers a grant request of another entry.
     pub(super) fn answer_grant_request(&self, ask: &gossip::Ask) -> gossip::Grant {
         self.receive_limit_reports(&ask.words);
-        let servers: Vec<u64> = ask.words.iter().map(|one| one.server).collect();
+        let servers: Vec<u64> = ask.words.iter().map(|report| report.server).collect();
         let granted = self.grant(&ask.service, &servers, ask.most);
         gossip::Grant {
             number: ask.number,
             server: granted.ok().map(|slot| slot.server),
-            wait: granted.map_or_else(|come_back| come_back, |slot| slot.wait),
+            wait: granted.map_or_else(|retry_after| retry_after, |slot| slot.wait),
         }
     }
 
-    /// Takes the answer to what this process asked.
+    /// Receives the answer to a grant request of this entry.
     pub(super) fn receive_grant(&self, grant: gossip::Grant) {
         if let Some(waiting) = self.grant_requests().pending.remove(&grant.number) {
-            // Whoever asked may have left meanwhile: then the grant is not used.
+            // The request may have been cancelled meanwhile. Its grant is then not used.
             let _ = waiting.send(grant);
         }
     }
 
-    /// Something goes to a server that names a limit and cannot wait for a grant.
+    /// Counts something that is sent without a grant against the limit of its server, if it names
+    /// one. The grantor keeps the account.
     pub(super) fn charge(&self, life: &register::Life) {
         let server = board::server_key(life);
         let service = {
@@ -267,7 +284,7 @@
                 return;
             }
             let record = state.register.get(life);
-            record.map_or(String::new(), |one| one.service.clone())
+            record.map_or(String::new(), |record| record.service.clone())
         };
         match self.grantors(&service).first() {
             Some(grantor) if *grantor != self.me() => {
@@ -277,18 +294,18 @@
         }
     }
 
-    /// Something was sent without a grant.
+    /// Counts what this or another entry sent without a grant.
     pub(super) fn receive_charge(&self, server: u64) {
         let now = self.node.now();
         self.state().quotas.charge(now, server);
     }
 
-    /// Entries in the order in which they grant for a service.
+    /// Entries in the order in which they grant for a service: the grantor, its deputy, the rest.
     fn grantors(&self, service: &str) -> Vec<SocketAddr> {
         let mut entries: Vec<SocketAddr> = {
             let roster = self.roster();
-            let all = roster.all().filter(|one| one.serves);
-            all.map(|one| one.link).collect()
+            let all = roster.all().filter(|peer| peer.serves);
+            all.map(|peer| peer.link).collect()
         };
         if !self.node.draining() || entries.is_empty() {
             entries.push(self.me());
@@ -304,7 +321,7 @@
         self.grant_requests.lock().expect("grant requests lock")
     }
 
-    /// Whether its service's servers with a limit were found to take nothing a moment ago.
+    /// Whether a grant for the service of a request was denied within `DENIED_TIME`.
     fn is_denied(&self, context: &Context, reason: Reason) -> bool {
         let now = self.node.now();
         let requests = self.grant_requests();
@@ -312,10 +329,16 @@
         reason != Reason::OnlyLimited && until.is_some_and(|until| now < *until)
     }
 
-    fn denied(&self, context: &Context, reason: Reason, servers: usize, come_back: Duration) {
+    fn record_denial(
+        &self,
+        context: &Context,
+        reason: Reason,
+        servers: usize,
+        retry_after: Duration,
+    ) {
         let now = self.node.now();
         if reason != Reason::OnlyLimited {
-            let until = now + DENIED_FOR;
+            let until = now + DENIED_TIME;
             self.grant_requests()
                 .denied
                 .insert(context.service.clone(), until);
@@ -323,22 +346,22 @@
         }
         if self.lines.allow(Event::RequestLimited, now) {
             log_event!(self.node.log(), Event::RequestLimited, "request" => &context.request.id,
-                "servers" => servers, "come_back_ms" => come_back.as_millis() as u64,
+                "servers" => servers, "come_back_ms" => retry_after.as_millis() as u64,
                 "left_ms" => context.time_left().as_millis() as u64);
         }
     }
 
-    /// Forgets who was passed over. To be called now and then.
+    /// Removes expired entries of the skipped and the denied. To be called each second.
     pub(super) fn prune_grants(&self) {
         let now = self.node.now();
         let mut requests = self.grant_requests();
-        requests.passed_over.retain(|_, until| now < *until);
+        requests.skipped.retain(|_, until| now < *until);
         requests.denied.retain(|_, until| now < *until);
     }
 }
 
-/// The place of a request at a server by itself, if it would do there.
-fn lone_place(context: &Context, server: &place::Server, reason: Reason) -> Option<place::Place> {
+/// The place of a request on a single server, if the server is suitable.
+fn single_place(context: &Context, server: &place::Server, reason: Reason) -> Option<place::Place> {
     let (Some(engine), Some(_)) = (&context.engine, context.request.size) else {
         let taken = server.load.readers + server.load.writers;
         let is_free = taken < server.slots || reason == Reason::OnlyLimited;
@@ -346,12 +369,12 @@
     };
     let need = context.need();
     let place = lone::engine(engine, &need, server, 0)?;
-    let would_do = match reason {
+    let is_suitable = match reason {
         Reason::HasCapacity => !place::is_long(engine, &need) && place.is_surely_on_time(need.aim),
         Reason::OthersFull => !place.is_full(context.route.objective),
         Reason::OnlyLimited => true,
     };
-    (would_do && context.meets_deadline_at(&place)).then_some(place)
+    (is_suitable && context.meets_deadline_at(&place)).then_some(place)
 }
 
 impl State {
--- a/src/edge/direct/progress.rs
+++ b/src/edge/direct/progress.rs
@@ -1,4 +1,4 @@
-//! Requests in progress at this process, and the stage that each is in.
+//! Requests in progress at this process, and the stage that each has reached.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 
 use crate::direct::register;
 
-/// How far a request is.
+/// Stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// Its body is read, or it waits for a configuration or for the first backend server.
+    /// Its body is being read, or it waits for a configuration or for the first backend server.
     Admission,
-    /// It waits for its turn, or for a backend server with room.
+    /// It waits for its turn, or for a backend server with capacity.
     Waiting,
-    /// It pauses between two attempts.
+    /// It waits for the back-off between two attempts.
     Paused,
-    /// Memory is set aside for it.
+    /// Memory is being reserved for it.
     Reserving,
-    /// A connection to its backend server is opened.
+    /// A connection to its backend server is being opened.
     Connecting,
-    /// It was sent to its backend server; nothing was passed on yet.
+    /// It was sent to its backend server, and nothing was passed on to the caller yet.
     Sent,
-    /// Its answer is passed on.
+    /// Its response is being passed on to the caller.
     Answering,
 }
 
@@ -40,7 +40,7 @@
         Self::Answering,
     ];
 
-    /// Its name in the log.
+    /// Name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Admission => "admission",
@@ -54,28 +54,28 @@
     }
 }
 
-/// What is known of a request in progress.
+/// State of a request in progress.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// The caller's id of it.
+    /// The caller's id of the request.
     pub id: String,
-    /// How far it is.
+    /// The stage that it has reached.
     pub stage: Stage,
     /// When it reached that stage.
     pub since: Instant,
-    /// When it came.
+    /// When the request arrived.
     pub began: Instant,
-    /// When its caller's time is over, once known.
+    /// Its deadline, once known.
     pub deadline: Option<Instant>,
     /// The backend server of its last attempt.
     pub server: Option<register::Life>,
-    /// Events passed on.
+    /// Events passed on to the caller.
     pub events: u32,
-    /// Whether the end of this process was logged as its end.
+    /// Whether it was logged as cut by the exit of this process.
     pub is_cut: bool,
 }
 
-/// A request in progress, shared by whoever works on it.
+/// Shared handle to the state of a request in progress.
 #[derive(Clone, Debug)]
 pub struct Progress(Arc<Mutex<State>>);
 
@@ -94,12 +94,12 @@
         })))
     }
 
-    /// What is known of it.
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().expect("progress lock")
     }
 
-    /// It reached a stage.
+    /// Enters a stage.
     pub fn reach(&self, stage: Stage) {
         let mut current = self.lock();
         if current.stage != stage {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// An attempt at `server` begins with this stage.
+    /// Enters the first stage of an attempt at `server`.
     pub fn reach_at(&self, stage: Stage, server: &register::Life) {
         self.reach(stage);
         self.lock().server = Some(server.clone());
@@ -117,36 +117,36 @@
 
 #[derive(Debug, Default)]
 struct Entries {
-    last: u64,
+    last_number: u64,
     open: BTreeMap<u64, Progress>,
 }
 
-/// The requests in progress.
+/// All requests in progress.
 #[derive(Debug, Default)]
 pub struct Table(Mutex<Entries>);
 
 impl Table {
-    /// A request came. Its number is for [`Table::remove`].
+    /// Adds a request that arrived. The number is for [`Table::remove`].
     pub fn insert(&self, id: &str) -> (u64, Progress) {
         let progress = Progress::new(id);
         let mut entries = self.entries();
-        entries.last += 1;
-        let number = entries.last;
+        entries.last_number += 1;
+        let number = entries.last_number;
         entries.open.insert(number, progress.clone());
         (number, progress)
     }
 
-    /// A request ended.
+    /// Removes a request that ended.
     pub fn remove(&self, number: u64) {
         self.entries().open.remove(&number);
     }
 
-    /// All of them, the oldest first.
+    /// All requests in progress, the oldest first.
     pub fn all(&self) -> Vec<Progress> {
         self.entries().open.values().cloned().collect()
     }
 
-    /// How many there are in each stage, in the order of [`Stage::ALL`].
+    /// Number of requests in each stage, in the order of [`Stage::ALL`].
     pub fn count(&self) -> [usize; Stage::ALL.len()] {
         let mut counts = [0; Stage::ALL.len()];
         for progress in self.all() {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Time that is left of a caller's time, 0 where it is over or not known.
+/// Time until the deadline of a request. 0 if it has passed or is not known.
 pub fn time_left(state: &State) -> Duration {
     let now = Instant::now();
     state.deadline.map_or(Duration::ZERO, |deadline| {
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to the end of its answer.
+//! Handles a caller's request from its head to the end of its response.
 
 use std::io;
 use std::sync::Arc;
@@ -33,24 +33,24 @@
 use crate::wire::id;
 
 /// Longest wait of a request for the first configuration or the first backend server that this
-/// process hears of: both come within a second and a half of a restart of the whole.
-const GATHER: Duration = Duration::from_millis(1_800);
+/// process learns of. Both arrive within 1.5 s after all processes were restarted.
+const STARTUP_WAIT: Duration = Duration::from_millis(1_800);
 
-/// Part of a caller's patience that it may wait for that.
-const GATHER_PART: f64 = 0.4;
+/// Part of the caller's timeout that this wait may take.
+const STARTUP_WAIT_PART: f64 = 0.4;
 
-/// When a caller is asked to come back where nothing says better.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// Retry-after of rejections for which no better value is known.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Why a request is refused that was not admitted before this process ends.
-const ENDS: &str = "this process ends";
+/// Cause of a rejection because the process exits before the request was admitted.
+const EXITS: &str = "this process exits";
 
-/// Pause before an attempt after two that were refused, doubled with each: who is full now may not
-/// be soon, and each refusal counts as one that was sent again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(25);
+/// Back-off after two rejected attempts, doubled with each further one. A full server may soon have
+/// capacity, and each rejected attempt counts as a retry.
+const REJECTED_PAUSE: Duration = Duration::from_millis(25);
 
-/// Longest time for a caller that gives none.
-const MOST_PATIENCE: Duration = Duration::from_secs(600);
+/// Timeout of callers that name none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [header::HeaderName; 7] = [
@@ -63,20 +63,20 @@
     header::UPGRADE,
 ];
 
-/// A refusal before anything was tried.
-struct Denied {
+/// A rejection before the first attempt.
+struct Rejection {
     status: StatusCode,
     why: &'static str,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
-impl Denied {
+impl Rejection {
     fn new(status: StatusCode, why: &'static str) -> Self {
-        let come_back = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(COME_BACK);
+        let retry_after = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(RETRY_AFTER);
         Self {
             status,
             why,
-            come_back,
+            retry_after,
         }
     }
 }
@@ -93,65 +93,70 @@
         let admitted = tokio::select! {
             biased;
             admitted = self.admit(request, head, body, span.progress()) => admitted,
-            () = lifetime.over() => Err(Denied::new(StatusCode::SERVICE_UNAVAILABLE, ENDS)),
+            () = lifetime.over() => Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, EXITS)),
         };
         let context = match admitted {
             Ok(context) => context,
-            Err(denied) => {
-                span.end(denied.status, denied.why);
-                // Other entries have what this one waited for.
+            Err(rejection) => {
+                span.end(rejection.status, rejection.why);
+                // Another entry can serve the request at once.
                 let is_ending = lifetime.is_ending();
-                let come_back = denied
-                    .come_back
-                    .map(|one| if is_ending { Duration::ZERO } else { one });
-                return refuse(denied.status, come_back);
+                let retry_after = rejection
+                    .retry_after
+                    .map(|after| if is_ending { Duration::ZERO } else { after });
+                return reject(rejection.status, retry_after);
             }
         };
-        span.serves(&context.service);
+        span.set_service(&context.service);
         self.relay(context, span).await
     }
 
     fn idle_timeout(&self) -> Duration {
-        let limits = self.catalog().map(|one| *one.limits());
+        let limits = self.catalog().map(|catalog| *catalog.limits());
         limits.unwrap_or_default().idle_timeout
     }
 }
 
 impl Direct {
-    /// Reads a request and finds its route and workspace.
+    /// Reads the body of a request and finds its route and workspace.
     async fn admit(
         &self,
         request: dialect::Request,
         head: request::Parts,
         body: body::Incoming,
         progress: &progress::Progress,
-    ) -> Result<Context, Denied> {
+    ) -> Result<Context, Rejection> {
         let catalog = self.catalog();
-        let limits = catalog.as_ref().map(|one| *one.limits());
+        let limits = catalog.as_ref().map(|catalog| *catalog.limits());
         let body = read_body(body, &limits.unwrap_or_default()).await?;
-        let patience = request.timeout.unwrap_or(MOST_PATIENCE);
-        let gather = GATHER.min(patience.mul_f64(GATHER_PART));
-        let catalog = self.catalog_for(&request, head.uri.path(), gather).await?;
-        let (route, workspace) = look_up(&catalog, &request, head.uri.path())?;
-        let limit = patience.min(route.timeout);
+        let timeout = request.timeout.unwrap_or(DEFAULT_TIMEOUT);
+        let startup_wait = STARTUP_WAIT.min(timeout.mul_f64(STARTUP_WAIT_PART));
+        let catalog = self
+            .catalog_for(&request, head.uri.path(), startup_wait)
+            .await?;
+        let (route, workspace) = find_route(&catalog, &request, head.uri.path())?;
+        let limit = timeout.min(route.timeout);
         let Some(target) = route.target(rand::random()) else {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Err(Denied::new(status, "the route leads nowhere"));
+            return Err(Rejection::new(status, "the route has no backend service"));
         };
         let service = target.service.clone();
-        self.await_server(&service, gather).await;
-        let engine = catalog.service(&service).and_then(|one| one.engine);
-        let name = workspace.map(|one| one.name.clone());
+        self.await_server(&service, startup_wait).await;
+        let engine = catalog.service(&service).and_then(|service| service.engine);
+        let name = workspace.map(|workspace| workspace.name.clone());
         let path = format!("{}{}", request.host, head.uri);
         let fingerprint = id::Fingerprint::of(name.as_deref().unwrap_or(""), &path, &body);
         let now = self.node.now();
         if self.state().suspects.is_poison(now, &fingerprint) {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Err(Denied::new(status, "backend servers died under it"));
+            return Err(Rejection::new(
+                status,
+                "quarantined: backend servers crashed while they ran it",
+            ));
         }
         let began = progress.lock().began;
         progress.lock().deadline = Some(began + limit);
-        let priority = workspace.and_then(|one| one.priority);
+        let priority = workspace.and_then(|workspace| workspace.priority);
         Ok(Context {
             priority: priority.unwrap_or(route.priority),
             route: route.clone(),
@@ -172,26 +177,29 @@
         })
     }
 
-    /// The configuration that decides on a request. What denies it must be confirmed: a caller
-    /// that is denied does not come back, and the newest may allow what one that was kept does
-    /// not.
+    /// The configuration to route a request by. One that would reject the request must be confirmed
+    /// as the newest: callers do not retry after 404 or 401, and a configuration read from disk may
+    /// lack a route or key that the newest has.
     async fn catalog_for(
         &self,
         request: &dialect::Request,
         path: &str,
-        gather: Duration,
-    ) -> Result<Arc<catalog::Catalog>, Denied> {
+        startup_wait: Duration,
+    ) -> Result<Arc<catalog::Catalog>, Rejection> {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let began = Instant::now();
-        let Some(catalog) = self.await_catalog(gather).await else {
-            return Err(Denied::new(status, "no configuration known yet"));
+        let Some(catalog) = self.await_catalog(startup_wait).await else {
+            return Err(Rejection::new(status, "no configuration received yet"));
         };
-        if look_up(&catalog, request, path).is_ok() || self.is_confirmed(&catalog) {
+        if find_route(&catalog, request, path).is_ok() || self.is_confirmed(&catalog) {
             return Ok(catalog);
         }
-        let left = gather.saturating_sub(began.elapsed());
+        let left = startup_wait.saturating_sub(began.elapsed());
         let confirmed = self.await_confirmed(left).await;
-        confirmed.ok_or(Denied::new(status, "newest configuration not known yet"))
+        confirmed.ok_or(Rejection::new(
+            status,
+            "the configuration is not confirmed as the newest yet",
+        ))
     }
 
     async fn relay(
@@ -201,59 +209,57 @@
     ) -> http::Response<door::Body> {
         let now = self.node.now();
         self.state().budget.request(now, &context.service);
-        let end = time::Instant::from_std(context.deadline);
+        let deadline = time::Instant::from_std(context.deadline);
         let lifetime = context.lifetime.clone();
-        // An answer that is there is passed on, whatever the time.
-        let got = tokio::select! {
+        // `biased`: a response that has arrived is passed on even at the deadline.
+        let outcome = tokio::select! {
             biased;
-            got = time::timeout_at(end, self.pursue(&mut context, None)) => got,
+            outcome = time::timeout_at(deadline, self.attempt_until_done(&mut context, None)) => outcome,
             () = lifetime.over() => Ok(Err(context.end_with_process().into())),
         };
-        let failure = match got {
-            Ok(Ok(attempt::Response::Complete(whole))) => {
-                span.first(0.0);
-                span.end(whole.head.status, "answered");
-                return pass_on(whole);
+        let failure = match outcome {
+            Ok(Ok(attempt::Response::Complete(response))) => {
+                span.first_event(0.0);
+                span.end(response.head.status, "answered");
+                return pass_on(response);
             }
             Ok(Ok(attempt::Response::Stream {
                 head,
                 first,
                 reader,
             })) => {
-                span.first(reader.first_ms);
+                span.first_event(reader.first_ms);
                 return self.pass_stream(context, span, &head, first, reader);
             }
             Ok(Err(failure)) => failure,
             Err(_) => verdict::End::Late.into(),
         };
-        if let Some(answer) = failure.response {
-            span.end(answer.head.status, "failed by its backend server");
-            return pass_on(answer);
+        if let Some(response) = failure.response {
+            span.end(response.head.status, "error response of the backend server");
+            return pass_on(response);
         }
-        let (status, come_back) =
+        let (status, retry_after) =
             match verdict::refusal(&failure.end, context.history, context.time_left()) {
-                verdict::Refusal::Busy(come_back) => {
-                    (StatusCode::SERVICE_UNAVAILABLE, Some(come_back))
-                }
+                verdict::Refusal::Busy(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after)),
                 verdict::Refusal::Failed => (StatusCode::BAD_GATEWAY, None),
                 verdict::Refusal::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
             };
         span.end(status, &format!("{:?}", failure.end));
-        refuse(status, come_back)
+        reject(status, retry_after)
     }
 
-    /// Tries until there is an answer to pass on, or no use in another attempt.
-    async fn pursue(
+    /// Makes attempts until one gives a response, or no other is allowed.
+    async fn attempt_until_done(
         self: &Arc<Self>,
         context: &mut Context,
         after: Option<&str>,
     ) -> Result<attempt::Response, attempt::Failure> {
         loop {
             let failure = match self.attempt(context, after).await {
-                Ok(got) => return Ok(got),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            // Who moved on of its own will has spent its part of the budget before.
+            // An attempt that left its server has spent from the retry budget then.
             let is_free = matches!(
                 failure.end,
                 verdict::End::Unsent | verdict::End::Slow | verdict::End::Silent
@@ -269,32 +275,33 @@
             }
             if context.history.tried > 1 && failure.end.not_run() {
                 context.progress.reach(progress::Stage::Paused);
-                time::sleep(REFUSED_PAUSE * (1 << (context.history.tried - 2).min(4))).await;
+                time::sleep(REJECTED_PAUSE * (1 << (context.history.tried - 2).min(4))).await;
             }
         }
     }
 
-    /// Spends a part of the budget of requests that are sent again.
+    /// Takes one retry from the budget of `service`, if it has one left.
     pub(super) fn spend_retry(&self, service: &str) -> bool {
         let now = self.node.now();
         let entries = self.entries();
         self.state().budget.spend(now, service, entries)
     }
 
-    /// Whether a request may leave the server that it waits at, and spends what that takes.
-    /// Whoever may not goes on waiting: an answer may yet come.
+    /// Whether a request may leave the server that it waits for. Takes one retry from the budget if
+    /// so. Otherwise the request keeps waiting, as a response may still come.
     pub(super) fn may_move(&self, context: &Context) -> bool {
         let end = verdict::End::Slow;
         verdict::again(&context.route, &end, context.history, context.time_left())
             && self.spend_retry(&context.service)
     }
 
-    /// Whether a request leaves a server that is slow, and spends what that takes.
+    /// Whether a request leaves a slow server for a better one. Takes one retry from the budget if
+    /// so.
     pub(super) fn should_move(&self, context: &Context, server: &register::Life) -> bool {
         self.has_better_server(context, server) && self.may_move(context)
     }
 
-    /// Passes events on as they come; where the stream breaks off, it goes on elsewhere.
+    /// Passes events on as they arrive. A stream that breaks off is resumed at another server.
     fn pass_stream(
         self: &Arc<Self>,
         mut context: Context,
@@ -304,24 +311,24 @@
         mut reader: Box<stream::Reader>,
     ) -> http::Response<door::Body> {
         let status = head.status;
-        let headers = answer_headers(head);
+        let headers = response_headers(head);
         let direct = Arc::clone(self);
-        let pieces = async_stream::stream! {
+        let chunks = async_stream::stream! {
             let began = Instant::now();
             let mut after = first.last_id.clone();
             context.progress.reach(progress::Stage::Answering);
-            span.passed(first.events);
+            span.events_passed(first.events);
             yield Ok(body::Frame::data(first.bytes));
-            let limit = time::Instant::from_std(context.deadline);
+            let deadline = time::Instant::from_std(context.deadline);
             loop {
-                let next = time::timeout_at(limit, time::timeout(patience::stuck(&context.route), reader.next(patience::QUIET, || direct.may_move(&context))));
+                let next = time::timeout_at(deadline, time::timeout(patience::stuck(&context.route), reader.next(patience::QUIET, || direct.may_move(&context))));
                 let lost = match next.await {
-                    Ok(Ok(stream::Next::Chunk(piece))) => {
-                        span.passed(piece.events);
-                        if piece.last_id.is_some() {
-                            after.clone_from(&piece.last_id);
+                    Ok(Ok(stream::Next::Chunk(chunk))) => {
+                        span.events_passed(chunk.events);
+                        if chunk.last_id.is_some() {
+                            after.clone_from(&chunk.last_id);
                         }
-                        yield Ok(body::Frame::data(piece.bytes));
+                        yield Ok(body::Frame::data(chunk.bytes));
                         continue;
                     }
                     Ok(Ok(stream::Next::End)) => {
@@ -338,28 +345,28 @@
                     Err(_) => verdict::End::Late,
                 };
                 let resumed = direct.resume_in_time(&mut context, &reader, &lost, after.as_deref());
-                if let Some((piece, next)) = resumed.await {
+                if let Some((chunk, next)) = resumed.await {
                         context.progress.reach(progress::Stage::Answering);
-                        span.passed(piece.events);
-                        if piece.last_id.is_some() {
-                            after.clone_from(&piece.last_id);
+                        span.events_passed(chunk.events);
+                        if chunk.last_id.is_some() {
+                            after.clone_from(&chunk.last_id);
                         }
                         reader = next;
-                        yield Ok(body::Frame::data(piece.bytes));
+                        yield Ok(body::Frame::data(chunk.bytes));
                 } else {
                         span.cut(&lost);
-                        yield Err(io::Error::other("the answer broke off"));
+                        yield Err(io::Error::other("the backend stream broke off and could not be resumed"));
                         return;
                 }
             }
         };
-        let mut response = http::Response::new(door::pieces(Box::pin(pieces)));
+        let mut response = http::Response::new(door::pieces(Box::pin(chunks)));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
     }
 
-    /// Takes note of how long an answer was written, if one server wrote it all.
+    /// Records how long a response took to generate, if a single server generated all of it.
     fn observe_writing(&self, context: &Context, took: Duration) {
         let (Some(engine), Some(size)) = (&context.engine, context.request.size) else {
             return;
@@ -372,7 +379,7 @@
         state.writing.observe(&context.service, took, expected);
     }
 
-    /// The same as [`Self::resume`], as long as its caller's time and this process last.
+    /// [`Self::resume`], stopped at the deadline or when this process exits.
     async fn resume_in_time(
         self: &Arc<Self>,
         context: &mut Context,
@@ -380,18 +387,18 @@
         lost: &verdict::End,
         after: Option<&str>,
     ) -> Option<(stream::Chunk, Box<stream::Reader>)> {
-        let end = time::Instant::from_std(context.deadline);
+        let deadline = time::Instant::from_std(context.deadline);
         let lifetime = context.lifetime.clone();
         tokio::select! {
             biased;
-            resumed = time::timeout_at(end, self.resume(context, reader, lost, after)) => {
+            resumed = time::timeout_at(deadline, self.resume(context, reader, lost, after)) => {
                 resumed.ok().flatten()
             }
             () = lifetime.over() => None,
         }
     }
 
-    /// Goes on with a stream at another server after its last whole event.
+    /// Resumes a stream at another server after its last complete event.
     async fn resume(
         self: &Arc<Self>,
         context: &mut Context,
@@ -413,7 +420,7 @@
         if !may {
             return None;
         }
-        match self.pursue(context, Some(after)).await {
+        match self.attempt_until_done(context, Some(after)).await {
             Ok(attempt::Response::Stream { first, reader, .. }) => {
                 log_event!(self.node.log(), Event::StreamResumed, "request" => &context.request.id,
                     "server" => &reader.server.life, "after" => after, "cause" => format!("{lost:?}"));
@@ -424,30 +431,36 @@
     }
 }
 
-async fn read_body(body: body::Incoming, limits: &catalog::Limits) -> Result<Bytes, Denied> {
+async fn read_body(body: body::Incoming, limits: &catalog::Limits) -> Result<Bytes, Rejection> {
     let reading = Limited::new(body, limits.body_bytes).collect();
     match time::timeout(limits.idle_timeout, reading).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(Denied::new(status, "its body is too large"))
+            Err(Rejection::new(status, "the request body is too large"))
         }
-        Ok(Err(_)) => Err(Denied::new(StatusCode::BAD_REQUEST, "its body broke off")),
+        Ok(Err(_)) => Err(Rejection::new(
+            StatusCode::BAD_REQUEST,
+            "the request body broke off",
+        )),
         Err(_) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(Denied::new(status, "its body did not come"))
+            Err(Rejection::new(
+                status,
+                "the request body did not arrive in time",
+            ))
         }
     }
 }
 
-/// The route of a request, and the workspace of its caller where one is asked for.
-fn look_up<'a>(
+/// The route of a request, and the workspace of its caller if the route needs one.
+fn find_route<'a>(
     catalog: &'a catalog::Catalog,
     request: &dialect::Request,
     path: &str,
-) -> Result<(&'a catalog::Route, Option<&'a catalog::Workspace>), Denied> {
+) -> Result<(&'a catalog::Route, Option<&'a catalog::Workspace>), Rejection> {
     let Some(route) = catalog.route(&request.host, path) else {
-        return Err(Denied::new(StatusCode::NOT_FOUND, "no such route"));
+        return Err(Rejection::new(StatusCode::NOT_FOUND, "no route matches"));
     };
     if route.public || !catalog.keyed() {
         return Ok((route, None));
@@ -455,12 +468,12 @@
     let key = request.key.as_deref();
     match key.and_then(|key| catalog.workspace(key)) {
         Some(workspace) => Ok((route, Some(workspace))),
-        None => Err(Denied::new(StatusCode::UNAUTHORIZED, "no such key")),
+        None => Err(Rejection::new(StatusCode::UNAUTHORIZED, "unknown key")),
     }
 }
 
-/// Headers of a server's answer that go on to the caller.
-fn answer_headers(head: &response::Parts) -> http::HeaderMap {
+/// Headers of a server's response that are passed on to the caller.
+fn response_headers(head: &response::Parts) -> http::HeaderMap {
     let mut headers = head.headers.clone();
     for name in &HOP_BY_HOP {
         headers.remove(name);
@@ -470,18 +483,18 @@
     headers
 }
 
-fn pass_on(whole: attempt::Complete) -> http::Response<door::Body> {
-    let headers = answer_headers(&whole.head);
-    let mut response = http::Response::new(door::whole(whole.body));
-    *response.status_mut() = whole.head.status;
+fn pass_on(complete: attempt::Complete) -> http::Response<door::Body> {
+    let headers = response_headers(&complete.head);
+    let mut response = http::Response::new(door::whole(complete.body));
+    *response.status_mut() = complete.head.status;
     *response.headers_mut() = headers;
     response
 }
 
-fn refuse(status: StatusCode, come_back: Option<Duration>) -> http::Response<door::Body> {
+fn reject(status: StatusCode, retry_after: Option<Duration>) -> http::Response<door::Body> {
     let mut response = http::Response::new(door::whole(Bytes::new()));
     *response.status_mut() = status;
-    if let Some(after) = come_back {
+    if let Some(after) = retry_after {
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = header::HeaderValue::try_from(seconds) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/src/edge/direct/reserve.rs
+++ b/src/edge/direct/reserve.rs
@@ -1,7 +1,7 @@
-//! Memory set aside at servers for prompts that are larger than one server's memory.
+//! Reserves memory at servers for prompts that are larger than the memory of one server.
 //!
-//! A reservation is short and renewed while its request runs. So whatever becomes of this
-//! process, the memory is free again soon, and no other has to know of it.
+//! A reservation expires soon and is renewed while its request runs. If this process crashes, the
+//! memory is free again without the help of another process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,21 +22,21 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Time for a server to answer an order; some round trips between zones.
+/// Timeout of an order to a server: some round trips between availability zones.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Renewals in the time for which memory is held: two may be lost.
-const RENEWALS: u32 = 3;
+/// Renewals within the time after which a reservation expires: two may be lost.
+const RENEWALS_PER_HOLD: u32 = 3;
 
-/// Pause before a release that got no answer is tried again.
+/// Pause before a release without an answer is retried.
 const RELEASE_PAUSE: Duration = Duration::from_millis(300);
 
-/// Tokens to set aside at a server.
+/// Memory to reserve at a server.
 #[derive(Clone, Debug)]
 pub struct Wanted {
-    /// The server.
+    /// Where to reserve it.
     pub server: register::Record,
-    /// How many.
+    /// Tokens that it must hold.
     pub tokens: u64,
 }
 
@@ -48,7 +48,7 @@
     tokens: u64,
 }
 
-/// Memory set aside for one request. Dropping it releases all of it.
+/// Memory reserved for one request. Dropping it releases all of it.
 pub struct Reservation {
     direct: Arc<Direct>,
     held: Vec<Held>,
@@ -56,13 +56,13 @@
 }
 
 impl Reservation {
-    /// Sets all of `wanted` aside under tickets that begin with `name`, or nothing. Servers are
-    /// asked in the order of their addresses, by everyone, and nobody waits for memory while it
-    /// holds some.
+    /// Reserves all of `wanted` or nothing, under tickets that begin with `name`. All entries ask
+    /// servers in the order of their addresses, and none waits for memory while it holds some, so
+    /// that no deadlock arises.
     pub async fn take(direct: &Arc<Direct>, name: &str, wanted: Vec<Wanted>) -> Option<Self> {
         let mut wanted = wanted;
-        wanted.sort_by_key(|one| one.server.addr);
-        let mut taken = Self {
+        wanted.sort_by_key(|wanted| wanted.server.addr);
+        let mut reservation = Self {
             direct: Arc::clone(direct),
             held: Vec::new(),
             renewing: None,
@@ -74,20 +74,24 @@
                 ticket: format!("{name}-{at}"),
                 tokens: one.tokens,
             };
-            // An order without an answer may yet be carried out: it is released with the rest.
-            taken.held.push(held.clone());
-            if !direct.set_aside(&held).await {
+            // Recorded before the order is sent: one without an answer may still be carried out, and
+            // must be released with the rest.
+            reservation.held.push(held.clone());
+            if !direct.reserve_memory(&held).await {
                 return None;
             }
         }
-        taken.renewing = Some(tokio::spawn(renew(Arc::clone(direct), taken.held.clone())));
-        Some(taken)
+        reservation.renewing = Some(tokio::spawn(renew(
+            Arc::clone(direct),
+            reservation.held.clone(),
+        )));
+        Some(reservation)
     }
 
-    /// The ticket at a server, if there is one.
+    /// The ticket of the reservation at a server, if there is one.
     pub fn ticket(&self, addr: SocketAddr) -> Option<&str> {
-        let held = self.held.iter().find(|one| one.addr == addr);
-        held.map(|one| one.ticket.as_str())
+        let held = self.held.iter().find(|held| held.addr == addr);
+        held.map(|held| held.ticket.as_str())
     }
 }
 
@@ -104,17 +108,17 @@
 
 async fn renew(direct: Arc<Direct>, held: Vec<Held>) {
     for round in 1_u32.. {
-        time::sleep(direct.hold() / RENEWALS).await;
+        time::sleep(direct.hold() / RENEWALS_PER_HOLD).await;
         for one in &held {
-            // Orders count against a limit: where there is one every other round will do.
-            let spares = direct.state().is_limited(&one.server);
-            if spares && !round.is_multiple_of(2) {
+            // Orders count against a limit of the server: with one, every other round is skipped.
+            let is_limited = direct.state().is_limited(&one.server);
+            if is_limited && !round.is_multiple_of(2) {
                 continue;
             }
-            // One that fails is tried again with the next round, before it has run out.
-            let renewed = direct.set_aside(one).await;
-            if spares && !renewed {
-                direct.set_aside(one).await;
+            // A renewal that fails is retried in the next round, before the reservation expires.
+            let renewed = direct.reserve_memory(one).await;
+            if is_limited && !renewed {
+                direct.reserve_memory(one).await;
             }
         }
     }
@@ -131,31 +135,31 @@
         }
         time::sleep(RELEASE_PAUSE).await;
     }
-    // By now it has run out by itself.
+    // By now the reservation has expired.
     log_event!(direct.node.log(), Event::MemoryStuck, "server" => &held.server,
         "ticket" => &held.ticket);
 }
 
 impl Direct {
-    /// Time for which memory is held without renewal.
+    /// Time after which a reservation expires unless renewed.
     fn hold(&self) -> Duration {
         self.settings.hold
     }
 
-    async fn set_aside(&self, held: &Held) -> bool {
+    async fn reserve_memory(&self, held: &Held) -> bool {
         let (path, body) = self.dialect.reserve(&held.ticket, held.tokens, self.hold());
         let status = self.order(held, path, body).await;
         status.is_some_and(|status| status.is_success())
     }
 
-    /// Gives a server an order: the status of its answer.
+    /// Sends an order to a server, and returns the status of its response.
     async fn order(
         &self,
         held: &Held,
         path: &'static str,
         body: Vec<u8>,
     ) -> Option<http::StatusCode> {
-        let ordering = async {
+        let response = async {
             let mut conn = pool::Conn::open(held.addr).await.ok()?;
             let request = http::Request::post(path)
                 .header(header::HOST, held.addr.to_string())
@@ -168,10 +172,10 @@
             let status = response.status();
             let headers = response.headers();
             self.observe_limit(&held.server, sent, headers, quota::Source::Other);
-            // The connection is closed with its answer read, so that nothing resets it.
+            // Reads the whole response: closing a connection with unread data would reset it.
             let _ = response.into_body().collect().await;
             Some(status)
         };
-        time::timeout(ORDER_TIMEOUT, ordering).await.ok()?
+        time::timeout(ORDER_TIMEOUT, response).await.ok()?
     }
 }
--- a/src/edge/direct/span.rs
+++ b/src/edge/direct/span.rs
@@ -1,4 +1,4 @@
-//! A request's end, logged and counted, whoever brings it about.
+//! Logs and counts the end of each request, whichever side ends it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Sees a request to its end, and logs and counts it; also when its caller leaves before.
+/// Logs and counts a request once: at its end, or when dropped because the caller disconnected.
 pub(super) struct Span {
     direct: Arc<Direct>,
     number: u64,
@@ -20,16 +20,16 @@
     id: String,
     service: String,
     began: Instant,
-    first: Option<Duration>,
-    /// When its last events were passed on.
-    last: Instant,
-    /// Longest pause between its events, at this entry.
-    pause: Duration,
+    first_event: Option<Duration>,
+    /// When events were last passed on.
+    last_event: Instant,
+    /// Longest pause between two events passed on.
+    max_pause: Duration,
     ended: bool,
 }
 
 impl Span {
-    /// Begins with a request that has come.
+    /// Counts a request that arrived, and registers it as in progress.
     pub(super) fn new(direct: &Arc<Direct>, id: &str) -> Self {
         direct.counts.began();
         let (number, progress) = direct.progress.insert(id);
@@ -40,41 +40,41 @@
             id: id.to_owned(),
             service: String::new(),
             began: Instant::now(),
-            first: None,
-            last: Instant::now(),
-            pause: Duration::ZERO,
+            first_event: None,
+            last_event: Instant::now(),
+            max_pause: Duration::ZERO,
             ended: false,
         }
     }
 
-    /// How far it is.
+    /// The stage that the request is in.
     pub(super) fn progress(&self) -> &progress::Progress {
         &self.progress
     }
 
-    /// The service that its route led to.
-    pub(super) fn serves(&mut self, service: &str) {
+    /// Sets the service that the route selected.
+    pub(super) fn set_service(&mut self, service: &str) {
         service.clone_into(&mut self.service);
     }
 
-    /// Its first event came, `predicted_ms` after it was placed as far as predicted.
-    pub(super) fn first(&mut self, predicted_ms: f64) {
+    /// Records that the first event arrived. `predicted_ms`: predicted time from placement to it.
+    pub(super) fn first_event(&mut self, predicted_ms: f64) {
         let took = self.began.elapsed();
-        self.first = Some(took);
+        self.first_event = Some(took);
         self.direct.counts.first(&self.service, took, predicted_ms);
     }
 
-    /// Events were passed on.
-    pub(super) fn passed(&mut self, events: u32) {
+    /// Records that events were passed on to the caller.
+    pub(super) fn events_passed(&mut self, events: u32) {
         let mut state = self.progress.lock();
         if state.events > 0 {
-            self.pause = self.pause.max(self.last.elapsed());
+            self.max_pause = self.max_pause.max(self.last_event.elapsed());
         }
-        self.last = Instant::now();
+        self.last_event = Instant::now();
         state.events += events;
     }
 
-    /// It was answered, or refused.
+    /// Ends the request with a response or a rejection.
     pub(super) fn end(&mut self, status: StatusCode, cause: &str) {
         let took = self.began.elapsed();
         self.ended = true;
@@ -89,7 +89,7 @@
         self.log(event, status.as_u16(), cause);
     }
 
-    /// Its answer broke off.
+    /// Ends the request with a response that broke off.
     pub(super) fn cut(&mut self, lost: &verdict::End) {
         self.ended = true;
         let took = self.began.elapsed();
@@ -102,11 +102,11 @@
         if !self.direct.lines.allow(event, now) {
             return;
         }
-        let first = self.first.map_or(0, |one| one.as_millis() as u64);
-        let whole = self.began.elapsed().as_millis() as u64;
+        let first_ms = self.first_event.map_or(0, |took| took.as_millis() as u64);
+        let whole_ms = self.began.elapsed().as_millis() as u64;
         log_event!(self.direct.node.log(), event, "request" => &self.id, "status" => status,
-            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.lock().events,
-            "pause_ms" => self.pause.as_millis() as u64);
+            "cause" => cause, "first_ms" => first_ms, "whole_ms" => whole_ms, "events" => self.progress.lock().events,
+            "pause_ms" => self.max_pause.as_millis() as u64);
     }
 }
 
--- a/src/edge/direct/stop.rs
+++ b/src/edge/direct/stop.rs
@@ -1,5 +1,5 @@
-//! The end of a process: its balancer is told, requests end as far as they can, those that cannot
-//! are rejected in time, and what is cut all the same is named.
+//! Graceful stop of a process. The load balancer is notified, requests that can complete do so, the
+//! others are rejected in time, and those that are cut are logged.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,31 +17,31 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Time between saying not ready and closing connections: a balancer that asks each second
-/// takes a process out after two misses.
-const NOTICE: Duration = Duration::from_millis(2_400);
+/// Time between reporting not ready and closing connections: a load balancer that checks each
+/// second takes a process out after two failed checks.
+const NOT_READY_TIME: Duration = Duration::from_millis(2_400);
 
-/// Time before the end of the grace period by which the process is gone.
-const RESERVE: Duration = Duration::from_millis(600);
+/// Time before the end of the grace period at which the process must have exited.
+const EXIT_RESERVE: Duration = Duration::from_millis(600);
 
-/// Time before that by which every rejection is on its way.
-const DELIVERY: Duration = Duration::from_millis(200);
+/// Time before the exit at which every rejection must have been sent.
+const REJECTION_RESERVE: Duration = Duration::from_millis(200);
 
-/// Time for another control process to take the leadership over.
-const HAND_OVER: Duration = Duration::from_secs(1);
+/// Time for another control process to take over the leadership.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
 
-const POLL: Duration = Duration::from_millis(25);
+const CLOSE_POLL: Duration = Duration::from_millis(25);
 
-/// Time between two lines on what a process that drains waits for.
-const REPORT: Duration = Duration::from_secs(1);
+/// Interval of log lines on the requests that a draining process waits for.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests that are logged by a line of their own when they are cut.
-const MOST_LINES: usize = 100;
+/// Cut requests that are logged with one line each.
+const MAX_LINES: usize = 100;
 
-/// Ids in one line for the others.
-const MOST_IDS: usize = 64;
+/// Ids in one log line of further cut requests.
+const MAX_IDS_PER_LINE: usize = 64;
 
-/// The listeners that a stop closes.
+/// The listeners that are closed at a stop.
 pub(super) struct Listeners {
     stage: watch::Sender<door::Stage>,
     /// Connections of callers.
@@ -51,7 +51,7 @@
 }
 
 impl Listeners {
-    /// Open ones, and what tells their listeners to close.
+    /// Listeners in the open stage, and the receiver of their stage.
     pub(super) fn open() -> (Self, watch::Receiver<door::Stage>) {
         let (stage, closing) = watch::channel(door::Stage::Open);
         let listeners = Self {
@@ -62,23 +62,23 @@
         (listeners, closing)
     }
 
-    /// Ends each connection with its next answer.
-    fn leave(&self) {
-        // Its receivers are the listeners, which end with the process.
+    /// Closes each connection after its next response. New ones are still accepted.
+    fn close_after_next(&self) {
+        // Fails only if no listener runs, and then there is none to close.
         let _ = self.stage.send(door::Stage::Leaving);
     }
 
-    /// Takes no connections any more, and waits until those that are open have ended.
+    /// Stops accepting connections, and waits until those that are open have ended.
     async fn close(&self) {
         let _ = self.stage.send(door::Stage::Closing);
         while self.callers.count() + self.operators.count() > 0 {
-            time::sleep(POLL).await;
+            time::sleep(CLOSE_POLL).await;
         }
     }
 }
 
-/// Drains the process: until its connections have ended, or the grace period is nearly over, or a
-/// second signal comes.
+/// Drains the process until its connections have ended, the grace period is nearly over, or a second
+/// signal arrives.
 pub(super) async fn drain(
     direct: &Arc<Direct>,
     listeners: &Listeners,
@@ -88,42 +88,42 @@
     let began = Instant::now();
     let node = direct.node();
     let lifetime = node.lifetime();
-    lifetime.end_by(began + grace.saturating_sub(RESERVE + DELIVERY));
+    lifetime.end_by(began + grace.saturating_sub(EXIT_RESERVE + REJECTION_RESERVE));
     node.drain();
-    listeners.leave();
+    listeners.close_after_next();
     if let Some(control) = node.control().cloned() {
-        tokio::spawn(async move { control.hand_over(HAND_OVER).await });
+        tokio::spawn(async move { control.hand_over(HAND_OVER_TIMEOUT).await });
     }
     let drained = async {
-        time::sleep(NOTICE).await;
+        time::sleep(NOT_READY_TIME).await;
         listeners.close().await;
     };
-    let limit = time::Instant::from_std(began + grace.saturating_sub(RESERVE));
+    let deadline = time::Instant::from_std(began + grace.saturating_sub(EXIT_RESERVE));
     tokio::select! {
-        _ = time::timeout_at(limit, drained) => return,
+        _ = time::timeout_at(deadline, drained) => return,
         () = report(direct) => {}
         () = second_signal(signals) => {}
     }
     lifetime.end_by(Instant::now());
-    // What has not ended by then is cut.
-    let _ = time::timeout(DELIVERY, listeners.close()).await;
+    // What has not ended by then is cut off when the process exits.
+    let _ = time::timeout(REJECTION_RESERVE, listeners.close()).await;
 }
 
-/// Waits for another signal to stop.
+/// Waits for another stop signal. SIGHUP is none.
 async fn second_signal(signals: &mut mpsc::Receiver<i32>) {
     while signals.recv().await == Some(consts::SIGHUP) {}
 }
 
-/// Logs each second what the process waits for. Never ends.
+/// Logs each second which requests the process waits for. Never returns.
 async fn report(direct: &Direct) {
-    let mut tick = time::interval(REPORT);
+    let mut tick = time::interval(REPORT_INTERVAL);
     loop {
         tick.tick().await;
         log_progress(direct);
     }
 }
 
-/// Logs how many requests are in progress, by stage.
+/// Logs the number of requests in progress by stage.
 fn log_progress(direct: &Direct) {
     let [
         admission,
@@ -139,10 +139,11 @@
         "connecting" => connecting, "sent" => sent, "answering" => answering);
 }
 
-/// Logs the requests that are still in progress as cut by the end of this process: how many.
+/// Logs the requests still in progress as cut by the exit of this process, and returns their
+/// number.
 pub(super) fn log_cut(direct: &Direct) -> usize {
     let cut = direct.progress.all();
-    let (single, rest) = cut.split_at(cut.len().min(MOST_LINES));
+    let (single, rest) = cut.split_at(cut.len().min(MAX_LINES));
     for progress in single {
         let mut state = progress.lock();
         state.is_cut = true;
@@ -163,7 +164,7 @@
             .push(state.id.clone());
     }
     for (stage, ids) in by_stage {
-        for ids in ids.chunks(MOST_IDS) {
+        for ids in ids.chunks(MAX_IDS_PER_LINE) {
             log_event!(direct.node.log(), Event::RequestCut, "requests" => ids.join(" "),
                 "stage" => stage.name(), "count" => ids.len());
         }
--- a/src/edge/direct/stream.rs
+++ b/src/edge/direct/stream.rs
@@ -1,4 +1,4 @@
-//! Reads a backend server's answer: whole, or event by event.
+//! Reads the response body of a backend server: all of it, or event by event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,53 +18,53 @@
 use crate::direct::sse;
 use crate::direct::verdict;
 
-/// Whole events that came together.
+/// Complete events that arrived together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chunk {
-    /// Their bytes.
+    /// Bytes of the events as received.
     pub bytes: Bytes,
-    /// Id of the last of them that has one.
+    /// Id of the last event that has one.
     pub last_id: Option<String>,
-    /// How many.
+    /// Number of events.
     pub events: u32,
 }
 
-/// What comes next in a stream.
+/// The next item of a stream.
 pub enum Next {
-    /// Events.
+    /// Complete events.
     Chunk(Chunk),
-    /// Its proper end.
+    /// The regular end of the stream.
     End,
-    /// It broke off.
+    /// The stream broke off.
     Lost(verdict::End),
 }
 
-/// An answer on its way.
+/// Reads the body of one response.
 pub struct Reader {
     direct: Arc<Direct>,
-    /// The server.
+    /// The server that sends it.
     pub server: register::Record,
-    /// Milliseconds until the first event, as predicted.
+    /// Predicted milliseconds until the first event. 0: not predicted.
     pub first_ms: f64,
     guard: choose::Guard,
     conn: Option<pool::Conn>,
-    /// Memory set aside for it, released with this.
+    /// Memory reserved for the request. Dropping the reader releases it.
     _memory: Option<reserve::Reservation>,
     body: body::Incoming,
     splitter: sse::Splitter,
     keep_alive: Option<Duration>,
     closes: bool,
-    wrote: bool,
+    has_started: bool,
 }
 
 impl Reader {
-    /// Reads `body`, which came over the connection held, with memory set aside for it.
+    /// Reads `body`. `held`: the connection that it arrives on, and the memory reserved for it.
     pub fn new(
         direct: &Arc<Direct>,
         assignment: choose::Assignment,
         held: (pool::Conn, Option<reserve::Reservation>),
         body: body::Incoming,
-        answer: &dialect::Response,
+        response: &dialect::Response,
     ) -> Self {
         Self {
             direct: Arc::clone(direct),
@@ -75,51 +75,52 @@
             _memory: held.1,
             body,
             splitter: sse::Splitter::default(),
-            keep_alive: answer.keep_alive,
-            closes: answer.closes,
-            wrote: false,
+            keep_alive: response.keep_alive,
+            closes: response.closes,
+            has_started: false,
         }
     }
 
-    /// The whole body, `most` bytes at the most, if it comes within `limit`.
-    pub async fn collect(&mut self, most: usize, limit: Duration) -> Option<Bytes> {
+    /// Reads the whole body. `None` if it is larger than `max_bytes`, breaks off, or takes longer
+    /// than `limit`.
+    pub async fn collect(&mut self, max_bytes: usize, limit: Duration) -> Option<Bytes> {
         let mut out = BytesMut::new();
         let reading = async {
             while let Some(frame) = self.body.frame().await {
                 if let Some(data) = frame.ok()?.data_ref() {
                     out.extend_from_slice(data);
                 }
-                if out.len() > most {
+                if out.len() > max_bytes {
                     return None;
                 }
             }
             Some(())
         };
         time::timeout(limit, reading).await.ok()??;
-        self.give_back();
+        self.release_conn();
         Some(out.freeze())
     }
 
-    /// The next events. After `quiet` of silence the server is asked whether it is there; if it
-    /// is not, `leaves` tells whether the request leaves it. To be called again after it was
-    /// dropped.
-    pub async fn next(&mut self, quiet: Duration, leaves: impl Fn() -> bool) -> Next {
+    /// Reads the next events. After `quiet` without any the server is probed. If it does not answer,
+    /// `may_leave` decides whether the request leaves it. Cancel safe: it may be called again after
+    /// its future was dropped.
+    pub async fn next(&mut self, quiet: Duration, may_leave: impl Fn() -> bool) -> Next {
         let mut stays = false;
         loop {
-            let piece = self.take_events();
-            if piece.events > 0 {
-                if !self.wrote {
-                    self.wrote = true;
+            let chunk = self.take_events();
+            if chunk.events > 0 {
+                if !self.has_started {
+                    self.has_started = true;
                     self.guard.start_writing();
                 }
-                return Next::Chunk(piece);
+                return Next::Chunk(chunk);
             }
             let frame = {
                 let dead = self.direct.dead(&self.server, quiet);
                 tokio::select! {
                     frame = self.body.frame() => frame,
                     () = dead, if !stays => {
-                        if leaves() {
+                        if may_leave() {
                             return Next::Lost(verdict::End::Silent);
                         }
                         stays = true;
@@ -137,7 +138,7 @@
                 Some(Err(_)) => return Next::Lost(verdict::End::Broken),
                 None if self.splitter.is_midway() => return Next::Lost(verdict::End::Broken),
                 None => {
-                    self.give_back();
+                    self.release_conn();
                     return Next::End;
                 }
             }
@@ -145,27 +146,27 @@
     }
 
     fn take_events(&mut self) -> Chunk {
-        let mut piece = Chunk::default();
+        let mut chunk = Chunk::default();
         let mut bytes = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
             bytes.extend_from_slice(&event.bytes);
-            piece.events += 1;
+            chunk.events += 1;
             if event.id.is_some() {
-                piece.last_id = event.id;
+                chunk.last_id = event.id;
             }
         }
-        piece.bytes = bytes.freeze();
-        piece
+        chunk.bytes = bytes.freeze();
+        chunk
     }
 
-    /// Keeps the connection of a whole answer for the next request.
-    fn give_back(&mut self) {
+    /// Returns the connection to the pool after a complete response.
+    fn release_conn(&mut self) {
         if let Some(conn) = self.conn.take()
             && !self.closes
         {
-            let most = self.direct.most_idle(&self.server.service);
+            let max_idle = self.direct.most_idle(&self.server.service);
             let life = &self.server.life;
-            self.direct.pool.keep(life, conn, self.keep_alive, most);
+            self.direct.pool.keep(life, conn, self.keep_alive, max_idle);
         }
     }
 }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -1,4 +1,4 @@
-//! The line of long prompts that wait for their turn.
+//! The queue of long prompts that wait for their turn.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use crate::edge::event::Event;
 use crate::log_event;
 
-/// Pause before a prompt that waits for its turn looks again: a third of the shortest part that
-/// is worth a turn.
-const TURN_PAUSE: Duration = Duration::from_millis(15);
+/// Poll interval of a prompt that waits for its turn: a third of the shortest segment that is read
+/// by turns.
+const TURN_POLL: Duration = Duration::from_millis(15);
 
-/// Pause before a prompt looks again for memory: about two passes of an engine. Looking weighs all
-/// servers, which on the smallest machines costs more than the wait gains.
-const MEMORY_PAUSE: Duration = Duration::from_millis(100);
+/// Poll interval of a prompt that waits for memory: about two passes of an engine. Each poll
+/// evaluates all servers, which on the smallest VMs costs more than the shorter wait gains.
+const MEMORY_POLL: Duration = Duration::from_millis(100);
 
-/// A long prompt's place in the line of those that wait, given back when it is dropped.
+/// The place of a long prompt in the queue. Dropping it leaves the queue.
 pub(super) struct Turn {
     direct: Arc<Direct>,
     ticket: Option<board::Ticket>,
@@ -34,11 +34,14 @@
         }
     }
 
-    /// Whether none that waits goes before it.
-    pub(super) fn has_come(&self, context: &Context) -> bool {
+    /// Whether no other prompt in the queue goes first.
+    pub(super) fn is_next(&self, context: &Context) -> bool {
         let now = self.direct.node.now();
         let need = context.need();
-        let Some(engine) = context.engine.filter(|one| place::is_long(one, &need)) else {
+        let Some(engine) = context
+            .engine
+            .filter(|engine| place::is_long(engine, &need))
+        else {
             return true;
         };
         let state = self.direct.state();
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Takes its place, or keeps it with a better rank.
+    /// Joins the queue, or updates its rank there.
     pub(super) fn wait(&mut self, context: &Context) {
         let Some(engine) = &context.engine else {
             return;
@@ -71,16 +74,16 @@
         }
     }
 
-    /// Time until it looks again.
-    pub(super) fn pause(&self) -> Duration {
+    /// Time until the next poll.
+    pub(super) fn poll_interval(&self) -> Duration {
         if self.ticket.is_some() {
-            TURN_PAUSE
+            TURN_POLL
         } else {
-            MEMORY_PAUSE
+            MEMORY_POLL
         }
     }
 
-    /// Gives its place in the line back.
+    /// Leaves the queue.
     pub(super) fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
             self.direct.state().board.stop_waiting(ticket);
