--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -33,26 +33,26 @@
 #[derive(Clone, Copy)]
 enum Reading {
     /// Only servers with capacity to read it while they generate other responses.
-    Beside,
+    WithoutTurn,
     /// Those, and when it is the prompt's turn the servers kept for reading long prompts.
-    Lane,
+    InTurn,
 }
 
 /// Outcome of one search for servers.
 enum Choice {
     /// Servers are assigned.
-    Now(Box<Assignment>),
+    Assigned(Box<Assignment>),
     /// The servers still read other prompts: it waits for its turn.
-    Later,
+    NeedsTurn,
     /// It waits for memory, or for more free servers: those free now would read it too slowly.
     /// Other prompts need not wait for it.
-    NotNow,
+    NeedsCapacity,
     /// All servers are so loaded that its first event would be late.
     Full,
     /// No server is known.
-    Nowhere,
+    NoServer,
     /// This process would exit before the response is complete.
-    Ending,
+    Exiting,
 }
 
 /// The load of one request as accounted for by this entry. Dropping it removes the load.
@@ -98,31 +98,31 @@
         let mut state = self.state();
         let standing::Candidates { records, part } = standing::candidates(&state, now, context);
         if records.is_empty() {
-            return Choice::Nowhere;
+            return Choice::NoServer;
         }
         let servers = self.servers(&mut state, now, &records, part);
         let any_waits = state.board.any_waits(now);
         let placed = match reading {
-            Reading::Lane => locate(context, &servers, any_waits),
-            Reading::Beside => beside(context, &servers, any_waits),
+            Reading::InTurn => find(context, &servers, any_waits),
+            Reading::WithoutTurn => find_without_turn(context, &servers, any_waits),
         };
         let Some(place) = placed else {
-            return Choice::NotNow;
+            return Choice::NeedsCapacity;
         };
         if !context.completes_before_exit(place.first_ms, context.write_time_bound(&state.writing))
         {
-            return Choice::Ending;
+            return Choice::Exiting;
         }
         if place.delay_ms > 0.0 {
-            return Choice::Later;
+            return Choice::NeedsTurn;
         }
         if !context.meets_deadline_at(&place) {
-            return Choice::NotNow;
+            return Choice::NeedsCapacity;
         }
         if context.may_wait_at_entry() && place.is_full(context.route.objective) {
             return Choice::Full;
         }
-        Choice::Now(Box::new(
+        Choice::Assigned(Box::new(
             self.assign(state, context, &records, &servers, place),
         ))
     }
@@ -210,7 +210,7 @@
         let any_waits = state.board.any_waits(now);
         let writing = context.write_time_bound(&state.writing);
         drop(state);
-        let place = locate(context, &servers, any_waits);
+        let place = find(context, &servers, any_waits);
         let is_better = place.is_some_and(|place| {
             place.is_worth_moving(context.route.objective)
                 && context.completes_before_exit(place.first_ms, writing)
@@ -291,7 +291,8 @@
         let is_long = context
             .engine
             .is_some_and(|engine| place::is_long(&engine, &context.need()));
-        if is_long && let Choice::Now(assignment) = self.choose(context, Reading::Beside) {
+        if is_long && let Choice::Assigned(assignment) = self.choose(context, Reading::WithoutTurn)
+        {
             return Ok(*assignment);
         }
         if let Ok(Some(assignment)) = self.choose_limited(context, Reason::HasCapacity).await {
@@ -303,12 +304,12 @@
                 return Err(verdict::End::Away);
             }
             if turn.is_next(context) {
-                match self.choose(context, Reading::Lane) {
-                    Choice::Now(assignment) => return Ok(*assignment),
-                    Choice::Ending => return Err(verdict::End::Ending),
-                    Choice::Nowhere => return self.choose_only_limited(context).await,
-                    Choice::Later => turn.wait(context),
-                    Choice::NotNow => turn.leave(),
+                match self.choose(context, Reading::InTurn) {
+                    Choice::Assigned(assignment) => return Ok(*assignment),
+                    Choice::Exiting => return Err(verdict::End::Ending),
+                    Choice::NoServer => return self.choose_only_limited(context).await,
+                    Choice::NeedsTurn => turn.wait(context),
+                    Choice::NeedsCapacity => turn.leave(),
                     Choice::Full if !self.may_complete_here(context) => {
                         return Err(verdict::End::Ending);
                     }
@@ -360,13 +361,17 @@
 
 /// Finds a place for a long prompt on `servers` that can read it while they generate other
 /// responses.
-fn beside(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
+fn find_without_turn(
+    context: &Context,
+    servers: &[place::Server],
+    any_waits: bool,
+) -> Option<place::Place> {
     let engine = context.engine.as_ref()?;
     place::without_turn(engine, &context.need(), servers, any_waits)
 }
 
 /// Finds a place for a request on `servers`.
-fn locate(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
+fn find(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
     let alone = |first: usize, first_ms: f64| place::Place {
         first_ms,
         part_ms: first_ms,
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -99,7 +99,7 @@
             Ok(context) => context,
             Err(rejection) => {
                 span.end(rejection.status, rejection.why);
-                // Another entry can serve the request at once.
+                // Other entries have the configuration and servers that this one waited for.
                 let is_ending = lifetime.is_ending();
                 let retry_after = rejection
                     .retry_after
