--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -289,17 +289,17 @@
         let is_stream = context.route.kind == catalog::Kind::Stream && success;
         let mut reader = stream::Reader::new(self, assignment, resources, body, &answer);
         if !is_stream {
-            let whole = reader
+            let collected = reader
                 .collect(MAX_RESPONSE_BYTES, context.time_left())
                 .await;
-            let body = whole.ok_or(verdict::End::Broken)?;
-            let whole = Complete { head, body };
-            return if whole.head.status.is_server_error() {
+            let body = collected.ok_or(verdict::End::Broken)?;
+            let complete = Complete { head, body };
+            return if complete.head.status.is_server_error() {
                 let end = verdict::End::Failed;
-                let response = Some(whole);
+                let response = Some(complete);
                 Err(Failure { end, response })
             } else {
-                Ok(Response::Complete(whole))
+                Ok(Response::Complete(complete))
             };
         }
         let next = loop {
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -125,7 +125,7 @@
     /// Suitable servers that name a limit, the best first.
     fn candidates(&self, context: &Context, reason: Reason) -> Vec<Candidate> {
         let now = self.node.now();
-        let is_grantor = self.grantors(&context.service).first() == Some(&self.me());
+        let is_grantor = self.grantors(&context.service).first() == Some(&self.own_link());
         let mut state = self.state();
         let has_others = reason != Reason::OnlyLimited;
         let mut records = standing::limited(&state, now, context, has_others);
@@ -184,10 +184,10 @@
             });
         }
         for grantor in grantors.into_iter().take(MAX_GRANTORS) {
-            if grantor == self.me() {
+            if grantor == self.own_link() {
                 return self.grant(service, servers, max_wait);
             }
-            if let Some(grant) = self.ask(grantor, service, servers, max_wait).await {
+            if let Some(grant) = self.send_request(grantor, service, servers, max_wait).await {
                 self.counts.granted(grant.server.is_some());
                 return match grant.server {
                     Some(server) => Ok(quota::Slot {
@@ -204,7 +204,7 @@
         Err(quota::COME_BACK)
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         grantor: SocketAddr,
         service: &str,
@@ -245,7 +245,7 @@
         max_wait: Duration,
     ) -> Result<quota::Slot, Duration> {
         let now = self.node.now();
-        let account = if self.grantors(service).first() == Some(&self.me()) {
+        let account = if self.grantors(service).first() == Some(&self.own_link()) {
             quota::Account::First
         } else {
             quota::Account::Deputy
@@ -287,7 +287,7 @@
             record.map_or(String::new(), |record| record.service.clone())
         };
         match self.grantors(&service).first() {
-            Some(grantor) if *grantor != self.me() => {
+            Some(grantor) if *grantor != self.own_link() => {
                 self.tell_one(*grantor, gossip::News::Charged(server));
             }
             _ => self.receive_charge(server),
@@ -308,12 +308,12 @@
             all.map(|peer| peer.link).collect()
         };
         if !self.node.draining() || entries.is_empty() {
-            entries.push(self.me());
+            entries.push(self.own_link());
         }
         quota::grantors(service, entries)
     }
 
-    fn me(&self) -> SocketAddr {
+    fn own_link(&self) -> SocketAddr {
         self.node.settings().link
     }
 
