--- a/src/direct.rs
+++ b/src/direct.rs
@@ -6,20 +6,20 @@
 //! "not run". No input, output or clock here.
 
 pub mod backlog;
-pub mod board;
 pub mod budget;
-pub mod bulletin;
 pub mod catalog;
+pub mod congestion;
+pub mod deadline;
 pub mod fault;
 pub mod gossip;
 pub mod lane;
+pub mod load;
 pub mod model;
-pub mod patience;
 pub mod place;
-pub mod pressure;
 pub mod quota;
 pub mod register;
 pub mod rendezvous;
+pub mod reporter;
 pub mod roster;
 pub mod sse;
 pub mod subset;
--- a/src/direct/pressure.rs
+++ b/src/direct/congestion.rs
@@ -30,7 +30,7 @@
 
 /// How much long prompts waited lately, anywhere, as far as is known here.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pressure {
+pub struct Congestion {
     /// Share of the last seconds in which one waited. Invariant: 0 to 1.
     level: f64,
     /// When it was last brought up to date.
@@ -39,14 +39,14 @@
 
 /// Why a prompt is turned away.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Away {
+pub struct Rejection {
     /// Share of the last seconds in which others waited.
     pub level: f64,
     /// Milliseconds for which it would hold the whole fleet.
-    pub part_ms: f64,
+    pub fleet_ms: f64,
 }
 
-impl Pressure {
+impl Congestion {
     /// Whether a long prompt waits now. To be told at least some times a second.
     pub fn observe(&mut self, now: Duration, waits: bool) {
         let since = now.saturating_sub(self.at).as_secs_f64();
@@ -56,23 +56,23 @@
     }
 
     /// Whether a prompt that has no place yet is turned away, where `servers` could read it.
-    pub fn turns_away(
+    pub fn rejection(
         &self,
         engine: &model::Engine,
         need: &place::Need,
         objective: Duration,
         servers: usize,
-    ) -> Option<Away> {
+    ) -> Option<Rejection> {
         if self.level < PRESSED || !place::is_long(engine, need) {
             return None;
         }
         // Where several are read at once it holds its part of the servers only: reckoned with its own
         // width alone, 54 servers turned away what takes 0.8 s of their time.
-        let width = servers.clamp(1, place::MOST_WIDTH);
-        let at_once = (servers / place::MOST_WIDTH).max(1);
-        let part_ms = engine.read_ms(need.prompt, width * at_once);
+        let width = servers.clamp(1, place::MAX_WIDTH);
+        let at_once = (servers / place::MAX_WIDTH).max(1);
+        let fleet_ms = engine.read_ms(need.prompt, width * at_once);
         let most_ms = objective.as_secs_f64() * 1e3 * HOLD_PART;
         let level = self.level;
-        (part_ms > most_ms).then_some(Away { level, part_ms })
+        (fleet_ms > most_ms).then_some(Rejection { level, fleet_ms })
     }
 }
--- a/src/direct/patience.rs
+++ b/src/direct/deadline.rs
@@ -36,7 +36,7 @@
 const LATE_RANK: u32 = 1_000_000;
 
 /// Silence of a server that serves a request after which it is asked whether it is there.
-pub const QUIET: Duration = Duration::from_millis(600);
+pub const PROBE_AFTER: Duration = Duration::from_millis(600);
 
 /// Silence before the first event after which a request goes elsewhere though the server says
 /// that it is there: twice the longest pass that placing allows.
@@ -61,20 +61,20 @@
 
 /// How long a request has waited for its first event, and may.
 #[derive(Clone, Copy, Debug)]
-pub struct Wait {
+pub struct Budget {
     /// Time since it came.
     pub waited: Duration,
     /// Time from its coming to its first event that is on time.
-    pub aim: Duration,
+    pub objective: Duration,
     /// Time until its caller gives it up for want of an event.
-    pub left: Duration,
+    pub until_abandoned: Duration,
     /// Time until its deadline.
-    pub end: Duration,
+    pub until_deadline: Duration,
     /// Time until this process ends. `MAX`: no stop has been asked for.
-    pub life: Duration,
+    pub until_exit: Duration,
 }
 
-impl Wait {
+impl Budget {
     /// A request of `route` that came `waited` ago, `end` before its deadline.
     pub fn new(route: &catalog::Route, waited: Duration, end: Duration) -> Self {
         let aim = route.objective;
@@ -82,52 +82,55 @@
         let patience = (aim * PATIENCE_AIMS).max(pauses).max(PATIENCE);
         Self {
             waited,
-            aim,
-            left: end.min(patience.saturating_sub(waited)),
-            end,
-            life: Duration::MAX,
+            objective: aim,
+            until_abandoned: end.min(patience.saturating_sub(waited)),
+            until_deadline: end,
+            until_exit: Duration::MAX,
         }
     }
 
     /// The same at a process that ends after `life`, if it does.
     #[must_use]
-    pub fn within(self, life: Option<Duration>) -> Self {
+    pub fn with_exit(self, life: Option<Duration>) -> Self {
         let life = life.unwrap_or(Duration::MAX);
-        Self { life, ..self }
+        Self {
+            until_exit: life,
+            ..self
+        }
     }
 
     /// Whether an answer whose first event comes after `first` and that is written for `writing`
     /// would be whole before this process ends.
-    pub fn ends_in_life(&self, first: Duration, writing: Duration) -> bool {
-        self.life > first.saturating_add(writing)
+    pub fn ends_before_exit(&self, first: Duration, writing: Duration) -> bool {
+        self.until_exit > first.saturating_add(writing)
     }
 
     /// Whether a prompt that has no place yet may have one in time.
-    pub fn may_go_on(&self, engine: &model::Engine, need: &place::Need) -> bool {
-        let most = engine.memory_tokens * place::MOST_WIDTH as u64 / 2;
+    pub fn may_still_start(&self, engine: &model::Engine, need: &place::Need) -> bool {
+        let most = engine.memory_tokens * place::MAX_WIDTH as u64 / 2;
         let fits = need.prompt + need.answer <= most;
-        fits && self.allows(engine, need, fastest(engine, need))
+        fits && self.allows(engine, need, min_read_time(engine, need))
     }
 
     /// Whether an answer would be whole in time if its first event came after `first`. What is cut
     /// at its deadline was read for nothing, while others waited.
     pub fn allows(&self, engine: &model::Engine, need: &place::Need, first: Duration) -> bool {
-        let writing = writing(engine, need.prompt, need.answer);
+        let writing = write_time(engine, need.prompt, need.answer);
         let whole = first.saturating_add(writing).saturating_add(TURN_LEFT);
-        self.end > whole && self.left > first
+        self.until_deadline > whole && self.until_abandoned > first
     }
 
     /// Whether a short prompt may wait at the entry for a server that is not full. Sent there, it
     /// would wait in the server's queue and make all that come after it late as well.
-    pub fn may_hold(&self, engine: &model::Engine, need: &place::Need) -> bool {
-        !place::is_long(engine, need) && self.left > HOLD_LEFT
+    pub fn may_wait_at_entry(&self, engine: &model::Engine, need: &place::Need) -> bool {
+        !place::is_long(engine, need) && self.until_abandoned > HOLD_LEFT
     }
 
     /// How long a request may wait until a server that names a limit takes it: it is on time as a rule,
     /// or a little late where it can hardly be on time any more.
-    pub fn for_grant(&self) -> Duration {
-        let on_time = self.aim.saturating_sub(self.waited) / 2;
-        on_time.max(self.left / LATE_GRANT)
+    pub fn grant_timeout(&self) -> Duration {
+        let on_time = self.objective.saturating_sub(self.waited) / 2;
+        on_time.max(self.until_abandoned / LATE_GRANT)
     }
 
     /// Rank of a long prompt that waits for its turn: the lowest goes first. Those that can still
@@ -135,10 +138,10 @@
     /// waited for long gains. Then those that would soon be given up; the others are late already,
     /// and take what is left.
     pub fn rank(&self, engine: &model::Engine, need: &place::Need) -> u32 {
-        let reading = fastest(engine, need);
-        let parts = self.waited.as_secs_f64() / self.aim.as_secs_f64().max(1e-3);
+        let reading = min_read_time(engine, need);
+        let parts = self.waited.as_secs_f64() / self.objective.as_secs_f64().max(1e-3);
         let own = (engine.read_ms(need.prompt, 1) / (1.0 + AGING * parts)) as u32;
-        if self.waited.saturating_add(reading) <= self.aim {
+        if self.waited.saturating_add(reading) <= self.objective {
             return own;
         }
         if !self.allows(engine, need, reading.saturating_add(LAST_CALL)) {
@@ -149,27 +152,27 @@
 }
 
 /// Time to write `tokens` of the answer to a prompt beside some others, by the time model.
-pub fn writing(engine: &model::Engine, prompt: u64, tokens: u64) -> Duration {
+pub fn write_time(engine: &model::Engine, prompt: u64, tokens: u64) -> Duration {
     // However many write, a step reads no more context than a server holds.
     let context = (prompt * u64::from(WRITERS)).min(engine.memory_tokens);
     engine.write_time(tokens, WRITERS, context)
 }
 
 /// Least time to read a prompt.
-pub fn fastest(engine: &model::Engine, need: &place::Need) -> Duration {
-    millis(engine.read_ms(need.prompt, place::MOST_WIDTH))
+pub fn min_read_time(engine: &model::Engine, need: &place::Need) -> Duration {
+    millis(engine.read_ms(need.prompt, place::MAX_WIDTH))
 }
 
 /// How long an attempt waits before it doubts its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct Silence {
     /// Silence after which the server is asked whether it is there.
-    pub quiet: Duration,
+    pub probe_after: Duration,
     /// Silence after which the request goes elsewhere, or its time ends. Invariant: not 0.
-    pub hung: Duration,
+    pub move_after: Duration,
 }
 
-impl Doubt {
+impl Silence {
     /// That of an attempt of which the first event is predicted after `first_ms` and that takes
     /// `alone_ms` to read, `left` before its deadline.
     pub fn new(
@@ -181,22 +184,22 @@
         let predicted = millis(first_ms);
         let (quiet, hung) = match route.kind {
             catalog::Kind::Stream => (
-                QUIET.max(predicted),
+                PROBE_AFTER.max(predicted),
                 HUNG + predicted + millis(alone_ms * HUNG_READS),
             ),
             catalog::Kind::Safe | catalog::Kind::Unsafe => (route.objective, route.objective * 2),
         };
         let hung = if can_move { hung.min(left) } else { left };
         Self {
-            quiet,
-            hung: hung.max(LEAST_HUNG),
+            probe_after: quiet,
+            move_after: hung.max(LEAST_HUNG),
         }
     }
 }
 
 /// Silence between two events of a stream after which it goes elsewhere though its server is
 /// there.
-pub fn stuck(route: &catalog::Route) -> Duration {
+pub fn stall_timeout(route: &catalog::Route) -> Duration {
     let pauses = route.pause.unwrap_or_default() * STUCK_PAUSES;
     pauses.max(STUCK)
 }
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::board;
+use super::load;
 use super::quota;
 use super::register;
 use crate::wire::id;
@@ -59,7 +59,7 @@
             /// Whether it is all; else only what changed since the last.
             whole: bool,
             /// By backend server.
-            loads: Vec<board::Load>,
+            loads: Vec<load::Load>,
             /// Ranks of the long prompts that wait for their turn, lowest first.
             waiting: Vec<u32>,
         },
--- a/src/direct/lane.rs
+++ b/src/direct/lane.rs
@@ -44,7 +44,7 @@
 
 /// Requests with tight pauses that may still write where long prompts are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strays {
+pub enum Sharing {
     /// None: each part that is read beside them is a pause of theirs.
     None,
     /// A few: where all servers are wanted for reading, or for a prompt that would else be late. It is
@@ -52,7 +52,7 @@
     Few,
 }
 
-impl Strays {
+impl Sharing {
     /// Requests with tight pauses beside which long prompts are read at most.
     fn most(self) -> u32 {
         match self {
@@ -64,7 +64,7 @@
 
 /// What each server is kept for: the first ones in the order of their keys for tight pauses, as
 /// many as such requests need, and all of them while nothing long is to be read.
-pub fn lanes(servers: &[place::Server], any_waits: bool, strays: Strays) -> Vec<Lane> {
+pub fn lanes(servers: &[place::Server], any_waits: bool, sharing: Sharing) -> Vec<Lane> {
     let count = servers.len();
     let mut lanes = vec![Lane::Tight; count];
     if count < LEAST_LANES {
@@ -89,9 +89,9 @@
     given.sort_by_key(|at| {
         let load = &servers[*at].load;
         let writes = load.writers > load.tight;
-        (load.tight > strays.most(), !writes, servers[*at].key)
+        (load.tight > sharing.most(), !writes, servers[*at].key)
     });
-    let free = given.partition_point(|at| servers[*at].load.tight <= strays.most());
+    let free = given.partition_point(|at| servers[*at].load.tight <= sharing.most());
     let free = free.max(1);
     let write = (free as f64 * WRITE_PART).round().max(1.0) as usize;
     for (rank, at) in given.iter().enumerate() {
--- a/src/direct/board.rs
+++ b/src/direct/load.rs
@@ -12,7 +12,7 @@
 /// How long the word of another entry counts. Entries speak up each half second.
 const HOLDS: Duration = Duration::from_millis(2_500);
 
-/// Part of a read that is taken to be left once it should have ended: what takes longer than
+/// Segment of a read that is taken to be left once it should have ended: what takes longer than
 /// predicted goes on for a while, and a server that looks free would draw all that comes.
 const OVERDUE_PART: f64 = 0.5;
 
@@ -25,7 +25,7 @@
 const WAIT_HOLDS: Duration = Duration::from_millis(900);
 
 /// A pause in milliseconds at or below which a writer is in the way of long prompts.
-pub const TIGHT_MS: u32 = 400;
+pub const TIGHT_PAUSE_MS: u32 = 400;
 
 /// Ranks told to others.
 const MOST_WAITING: usize = 4;
@@ -49,7 +49,7 @@
         pub readers: u32,
         /// Requests that write.
         pub writers: u32,
-        /// Milliseconds of reading of all who wait for their first event, parts of other
+        /// Milliseconds of reading of all who wait for their first event, segments of other
         /// servers' prompts among them. What is left to read is no more than that.
         pub read_ms: u32,
         /// Tokens of context of those who write.
@@ -61,14 +61,14 @@
         /// Milliseconds of work that the entry has ever given the server to read. Only its
         /// growth counts, so a datagram that is lost is made up for by the next.
         pub given_ms: i64,
-        /// Long prompts whose parts are to be read there, and that are not overdue for so long
+        /// Long prompts whose segments are to be read there, and that are not overdue for so long
         /// that their answers count as lost.
         pub long: u32,
         /// Of `read_ms`, what should have been read by now.
         pub overdue_ms: u32,
         /// Milliseconds until all work given to the server is read, by all entries.
         pub backlog_ms: u32,
-        /// Requests with tight pauses that write there, or will: see [`TIGHT_MS`].
+        /// Requests with tight pauses that write there, or will: see [`TIGHT_PAUSE_MS`].
         pub tight: u32,
         /// Milliseconds of work given to the server lately, by all entries, older work counting
         /// less: see [`super::backlog`].
@@ -91,7 +91,7 @@
 
 /// A part of a prompt that a server reads.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct Segment {
     /// The server.
     pub server: u64,
     /// Milliseconds of reading.
@@ -103,8 +103,8 @@
 /// A request's claim on servers.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The server that writes. Its part is the first of `parts`.
-    pub parts: Vec<Part>,
+    /// The server that writes. Its part is the first of `segments`.
+    pub segments: Vec<Segment>,
     /// Tokens of its prompt.
     pub prompt: u64,
     /// Tokens that its answer is expected to have.
@@ -125,7 +125,7 @@
 
 /// What another entry says that it has running.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Report {
     /// Whether it is all; else only what changed.
     pub whole: bool,
     /// By server.
@@ -154,7 +154,7 @@
 
 /// What runs where.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Table {
     next: u64,
     own: HashMap<Ticket, Run>,
     told: HashMap<SocketAddr, Other>,
@@ -164,9 +164,9 @@
     waiting: HashMap<Ticket, u32>,
 }
 
-impl Board {
+impl Table {
     /// A long prompt waits for its turn with this rank; the lowest goes first.
-    pub fn wait(&mut self, ticket: Option<Ticket>, rank: u32) -> Ticket {
+    pub fn enqueue(&mut self, ticket: Option<Ticket>, rank: u32) -> Ticket {
         let ticket = ticket.unwrap_or_else(|| {
             self.next += 1;
             Ticket(self.next)
@@ -176,7 +176,7 @@
     }
 
     /// It waits no more.
-    pub fn stop_waiting(&mut self, ticket: Ticket) {
+    pub fn dequeue(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
@@ -196,12 +196,12 @@
     }
 
     /// Whether a long prompt waits anywhere.
-    pub fn any_waits(&self, now: Duration) -> bool {
+    pub fn has_waiting(&self, now: Duration) -> bool {
         !self.waiting.is_empty() || self.waiting_elsewhere(now).next().is_some()
     }
 
     /// Ranks of the long prompts that wait here, lowest first, as many as matter.
-    pub fn own_waiting(&self) -> Vec<u32> {
+    pub fn waiting_ranks(&self) -> Vec<u32> {
         let mut ranks: Vec<u32> = self.waiting.values().copied().collect();
         ranks.sort_unstable();
         ranks.truncate(MOST_WAITING);
@@ -215,8 +215,8 @@
     }
 
     /// Enters a request.
-    pub fn enter(&mut self, now: Duration, claim: Claim) -> Ticket {
-        for part in &claim.parts {
+    pub fn insert(&mut self, now: Duration, claim: Claim) -> Ticket {
+        for part in &claim.segments {
             self.give(now, part.server, part.read_ms);
         }
         self.next += 1;
@@ -227,14 +227,14 @@
     }
 
     /// Its first event came: its prompt is read.
-    pub fn wrote(&mut self, ticket: Ticket) {
+    pub fn start_writing(&mut self, ticket: Ticket) {
         if let Some(run) = self.own.get_mut(&ticket) {
             run.writes = true;
         }
     }
 
     /// It has ended. What it leaves unread is work no more.
-    pub fn leave(&mut self, now: Duration, ticket: Ticket) {
+    pub fn remove(&mut self, now: Duration, ticket: Ticket) {
         let Some(run) = self.own.remove(&ticket) else {
             return;
         };
@@ -244,7 +244,7 @@
         }
         let span = ends.saturating_sub(begins).as_secs_f64();
         let left = ends.saturating_sub(now.max(begins)).as_secs_f64();
-        for part in &run.claim.parts {
+        for part in &run.claim.segments {
             self.give(now, part.server, -part.read_ms * (left / span.max(1e-6)));
         }
     }
@@ -267,15 +267,15 @@
     }
 
     /// What another entry has running.
-    pub fn told(
+    pub fn apply(
         &mut self,
         now: Duration,
         from: SocketAddr,
         life: id::Incarnation,
         seq: u64,
-        news: Told,
+        news: Report,
     ) {
-        let Told {
+        let Report {
             whole,
             loads,
             waiting,
@@ -330,7 +330,7 @@
     pub fn own_loads(&self, now: Duration) -> Vec<Load> {
         let mut out: HashMap<u64, Load> = HashMap::new();
         for run in self.own.values() {
-            for (at, part) in run.claim.parts.iter().enumerate() {
+            for (at, part) in run.claim.segments.iter().enumerate() {
                 let load = out.entry(part.server).or_insert(Load {
                     server: part.server,
                     ..Load::default()
@@ -351,7 +351,7 @@
     }
 
     /// What is told of a server at which this entry has nothing running any more.
-    pub fn nothing(&self, server: u64) -> Load {
+    pub fn idle_load(&self, server: u64) -> Load {
         let given = self.given.get(&server);
         Load {
             server,
@@ -362,13 +362,13 @@
 
     /// All that runs, by server.
     pub fn view(&mut self, now: Duration) -> HashMap<u64, Load> {
-        self.view_of(now, subset::Subset::WHOLE)
+        self.view_subset(now, subset::Subset::WHOLE)
     }
 
     /// All that runs on one part of the fleet, by server.
-    pub fn view_of(&mut self, now: Duration, part: subset::Subset) -> HashMap<u64, Load> {
+    pub fn view_subset(&mut self, now: Duration, part: subset::Subset) -> HashMap<u64, Load> {
         let own = self.own_loads(now).into_iter();
-        let own = own.filter(|one| part.holds(one.server));
+        let own = own.filter(|one| part.contains(one.server));
         let mut out: HashMap<u64, Load> = own.map(|one| (one.server, one)).collect();
         for told in self.told.values() {
             let age = now.saturating_sub(told.at);
@@ -376,7 +376,7 @@
                 continue;
             }
             let loads = told.loads.values();
-            for load in loads.filter(|one| part.holds(one.server)) {
+            for load in loads.filter(|one| part.contains(one.server)) {
                 let sum = out.entry(load.server).or_insert(Load {
                     server: load.server,
                     ..Load::default()
@@ -398,7 +398,7 @@
     }
 }
 
-fn add(load: &mut Load, now: Duration, run: &Run, part: &Part, is_first: bool) {
+fn add(load: &mut Load, now: Duration, run: &Run, part: &Segment, is_first: bool) {
     let claim = &run.claim;
     if !run.writes {
         load.read_ms += part.read_ms.ceil() as u32;
@@ -421,7 +421,7 @@
     }
     if claim.bound_ms > 0 {
         load.bound_ms = tighter(load.bound_ms, claim.bound_ms);
-        load.tight += u32::from(claim.bound_ms <= TIGHT_MS);
+        load.tight += u32::from(claim.bound_ms <= TIGHT_PAUSE_MS);
     }
 }
 
--- a/src/direct/place.rs
+++ b/src/direct/place.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use super::board;
 use super::lane;
+use super::load;
 use super::model;
 
-pub mod lone;
 mod long;
 mod short;
+pub mod single;
 mod split;
 
 /// Servers that a prompt may be split over: the first and 16 that help it.
-pub const MOST_WIDTH: usize = 17;
+pub const MAX_WIDTH: usize = 17;
 
 /// Milliseconds of reading alone from which a prompt takes the whole lane.
 const LONG_MS: f64 = 900.0;
@@ -50,7 +50,7 @@
     /// Tokens that its answer is expected to have.
     pub answer: u64,
     /// Time to its first event that is still on time.
-    pub aim: Duration,
+    pub objective: Duration,
     /// Longest pause between its events in milliseconds. 0: none.
     pub bound_ms: u32,
     /// Drawn for each request, so that entries that choose at the same moment among equal servers
@@ -61,21 +61,21 @@
 impl Need {
     /// Whether its pauses are tight.
     pub fn is_tight(&self) -> bool {
-        self.bound_ms > 0 && self.bound_ms <= board::TIGHT_MS
+        self.bound_ms > 0 && self.bound_ms <= load::TIGHT_PAUSE_MS
     }
 }
 
 /// A server that may take it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// See [`board::server_key`].
+    /// See [`load::server_key`].
     pub key: u64,
     /// Whether it is in this entry's zone.
     pub near: bool,
     /// Requests at once.
     pub slots: u32,
     /// What runs there.
-    pub load: board::Load,
+    pub load: load::Load,
     /// Factor by which it is slower than its model.
     pub pace: f64,
     /// Share of its answers that failed lately.
@@ -86,15 +86,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     /// Index of the first server.
-    pub first: usize,
+    pub writer: usize,
     /// Indexes of those that help it read.
     pub helpers: Vec<usize>,
     /// Tokens of memory to set aside at each of those, in their order.
-    pub aside: Vec<u64>,
+    pub reserved: Vec<u64>,
     /// Milliseconds until its first event, as predicted.
     pub first_ms: f64,
     /// Milliseconds that each of them reads.
-    pub part_ms: f64,
+    pub segment_ms: f64,
     /// Milliseconds until what is read there has ended, if it has to wait for that.
     pub delay_ms: f64,
     /// Whether it takes a turn on the lane of reading.
@@ -139,7 +139,7 @@
     any_waits: bool,
 ) -> Option<Place> {
     if !is_long(engine, need) {
-        let lanes = lane::lanes(servers, any_waits, lane::Strays::Few);
+        let lanes = lane::lanes(servers, any_waits, lane::Sharing::Few);
         return short::find(engine, need, servers, &lanes);
     }
     without_turn(engine, need, servers, any_waits).or_else(|| by_turn(engine, need, servers))
@@ -150,15 +150,15 @@
 /// 0.04 of the long prompts their objective to leave some out.
 fn by_turn(engine: &model::Engine, need: &Need, servers: &[Server]) -> Option<Place> {
     // One that has just come needs its lane as one that waits does.
-    let lanes = lane::lanes(servers, true, lane::Strays::None);
+    let lanes = lane::lanes(servers, true, lane::Sharing::None);
     if long::is_wide(engine, need, &lanes) {
         let calm = long::find(engine, need, servers, &lanes);
-        let calm = calm.filter(|one| one.is_surely_on_time(need.aim));
+        let calm = calm.filter(|one| one.is_surely_on_time(need.objective));
         if calm.is_some() {
             return calm;
         }
     }
-    let lanes = lane::lanes(servers, true, lane::Strays::Few);
+    let lanes = lane::lanes(servers, true, lane::Sharing::Few);
     long::find(engine, need, servers, &lanes)
 }
 
@@ -169,7 +169,7 @@
     servers: &[Server],
     any_waits: bool,
 ) -> Option<Place> {
-    let lanes = lane::lanes(servers, any_waits, lane::Strays::Few);
+    let lanes = lane::lanes(servers, any_waits, lane::Sharing::Few);
     split::find(engine, need, servers, &lanes)
 }
 
--- a/src/direct/place/long.rs
+++ b/src/direct/place/long.rs
@@ -48,7 +48,7 @@
     let write = lane::of(lanes, Lane::Write);
     let first = writer(engine, need, servers, &order, &write)?;
     order.retain(|at| *at != first);
-    order.truncate(place::MOST_WIDTH - 1);
+    order.truncate(place::MAX_WIDTH - 1);
     let helpers = order.clone();
     order.push(first);
     let aside = set_aside(engine, need, servers, first, &helpers)?;
@@ -68,11 +68,11 @@
     let first_ms =
         delay_ms + place::queue_ms(engine, need, &servers[first]) + part_ms * slowest + pass_ms;
     Some(place::Place {
-        first,
+        writer: first,
         helpers,
-        aside,
+        reserved: aside,
         first_ms,
-        part_ms,
+        segment_ms: part_ms,
         delay_ms,
         takes_turn: true,
     })
@@ -185,9 +185,9 @@
 /// On how many servers a prompt is read soon enough to be on time.
 fn enough(engine: &model::Engine, need: &place::Need) -> usize {
     let alone_ms = engine.read_ms(need.prompt, 1);
-    let read_ms = need.aim.as_secs_f64() * 1e3 * READ_PART;
+    let read_ms = need.objective.as_secs_f64() * 1e3 * READ_PART;
     let enough = (alone_ms / read_ms.max(1.0)).ceil() as usize;
-    enough.clamp(1, place::MOST_WIDTH)
+    enough.clamp(1, place::MAX_WIDTH)
 }
 
 /// Whether the lane of reading is so wide that several prompts are read there at once.
@@ -210,7 +210,7 @@
 /// `busy`: milliseconds until each is, ascending.
 fn soonest(busy: &[f64], alone_ms: f64) -> usize {
     let ends = |at: usize| busy[at] + alone_ms / (at + 1) as f64;
-    let widths = 0..busy.len().min(place::MOST_WIDTH);
+    let widths = 0..busy.len().min(place::MAX_WIDTH);
     let best = widths.min_by(|one, other| ends(*one).total_cmp(&ends(*other)));
     best.map_or(1, |at| at + 1)
 }
--- a/src/direct/place/short.rs
+++ b/src/direct/place/short.rs
@@ -47,7 +47,7 @@
         }
     });
     let width = (alone_ms / PART_MS).ceil().max(1.0) as usize;
-    let width = width.min(place::MOST_WIDTH).min(servers.len().max(1));
+    let width = width.min(place::MAX_WIDTH).min(servers.len().max(1));
     let part_ms = alone_ms / width as f64;
     let worth = place::weight(engine, need.prompt);
     let mut best: Option<(f64, usize, f64)> = None;
@@ -59,7 +59,7 @@
         } else {
             OTHER_LANE * worth
         };
-        let cost = lateness(first_ms, need.aim) * worth
+        let cost = lateness(first_ms, need.objective) * worth
             + place::harm(engine, one, part_ms)
             + place::beside(one)
             + other;
@@ -71,11 +71,11 @@
     helpers.retain(|at| *at != first);
     helpers.truncate(width - 1);
     Some(place::Place {
-        first,
-        aside: vec![0; helpers.len()],
+        writer: first,
+        reserved: vec![0; helpers.len()],
         helpers,
         first_ms,
-        part_ms,
+        segment_ms: part_ms,
         delay_ms: 0.0,
         takes_turn: false,
     })
--- a/src/direct/place/lone.rs
+++ b/src/direct/place/single.rs
@@ -17,7 +17,7 @@
     let part_ms = engine.read_ms(need.prompt, 1);
     Some(place::Place {
         first_ms: place::short::first_ms(engine, need, server, part_ms),
-        part_ms,
+        segment_ms: part_ms,
         ..plain(first)
     })
 }
@@ -25,11 +25,11 @@
 /// Places a call on the server of a plain service whose index is `first`.
 pub fn plain(first: usize) -> place::Place {
     place::Place {
-        first,
+        writer: first,
         helpers: Vec::new(),
-        aside: Vec::new(),
+        reserved: Vec::new(),
         first_ms: 0.0,
-        part_ms: 0.0,
+        segment_ms: 0.0,
         delay_ms: 0.0,
         takes_turn: false,
     }
--- a/src/direct/place/split.rs
+++ b/src/direct/place/split.rs
@@ -60,11 +60,11 @@
     let load = &servers[first].load;
     let pass_ms = engine.pass_ms(load.writers + 1, load.context + need.prompt);
     Some(place::Place {
-        first,
+        writer: first,
         helpers,
-        aside,
+        reserved: aside,
         first_ms: read_ms + pass_ms,
-        part_ms,
+        segment_ms: part_ms,
         delay_ms: 0.0,
         takes_turn: false,
     })
@@ -91,8 +91,8 @@
 fn width(engine: &model::Engine, need: &place::Need, rooms: &[f64]) -> Option<usize> {
     let alone_ms = engine.read_ms(need.prompt, 1);
     let least = (alone_ms / PART_MS).ceil() as usize;
-    let least = least.clamp(1, place::MOST_WIDTH);
-    let mut widths = least..=place::MOST_WIDTH;
+    let least = least.clamp(1, place::MAX_WIDTH);
+    let mut widths = least..=place::MAX_WIDTH;
     widths.find(|width| {
         let part_ms = engine.read_ms(need.prompt, *width);
         let fit = rooms.iter().filter(|room| **room >= part_ms).count();
--- a/src/direct/quota.rs
+++ b/src/direct/quota.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::board;
+use super::load;
 
 key! {
     /// Requests in 1,000 seconds.
@@ -54,7 +54,7 @@
     /// What processes tell each other of a server's limit.
     #[derive(Copy)]
     pub struct Word {
-        /// The server, see [`super::board::server_key`].
+        /// The server, see [`super::load::server_key`].
         pub server: u64,
         /// Changes of the limit so far, as far as known: of two words the later change holds.
         pub change: u32,
@@ -339,7 +339,7 @@
 /// Brings entries into the order in which they grant for a service: the first does, the next is its
 /// deputy. The same everywhere, and another one for each service.
 pub fn grantors(service: &str, mut entries: Vec<SocketAddr>) -> Vec<SocketAddr> {
-    let service = board::key(service);
+    let service = load::key(service);
     entries.sort_by_cached_key(|entry| (rank(service, entry), *entry));
     entries
 }
--- a/src/direct/register.rs
+++ b/src/direct/register.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::board;
+use super::load;
 
 key! {
     /// What a backend server says of itself. Later ones win: it never goes back.
@@ -139,7 +139,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     record: Record,
-    /// See [`board::server_key`]: kept, since hashing it anew for each use grows with the fleet.
+    /// See [`load::server_key`]: kept, since hashing it anew for each use grows with the fleet.
     key: u64,
     /// When this life became known.
     since: Duration,
@@ -156,7 +156,7 @@
 impl Known {
     fn new(now: Duration, record: Record) -> Self {
         Self {
-            key: board::server_key(&record.life),
+            key: load::server_key(&record.life),
             record,
             since: now,
             seen: now,
@@ -172,7 +172,7 @@
 pub struct Ready<'a> {
     /// Its record.
     pub record: &'a Record,
-    /// See [`board::server_key`].
+    /// See [`load::server_key`].
     pub key: u64,
     /// Time since its last sign of life.
     pub age: Duration,
@@ -317,7 +317,7 @@
         self.by_id.get(id).map(|known| &known.record)
     }
 
-    /// The life that a key names, see [`board::server_key`].
+    /// The life that a key names, see [`load::server_key`].
     pub fn life(&self, key: u64) -> Option<&Life> {
         let id = self.by_key.get(&key)?;
         Some(&self.latest(id)?.life)
--- a/src/direct/rendezvous.rs
+++ b/src/direct/rendezvous.rs
@@ -2,7 +2,7 @@
 //!
 //! All that know the same processes agree on it, and when one goes only its servers fall to others.
 
-/// Rank of a process for a server, both by their keys (see [`super::board::key`]): the server falls
+/// Rank of a process for a server, both by their keys (see [`super::load::key`]): the server falls
 /// to the process that ranks highest. On whole numbers, since each process ranks all processes for
 /// all servers each second.
 pub fn rank(server: u64, process: u64) -> u64 {
@@ -14,7 +14,7 @@
 }
 
 /// Whether `server` falls to `me` rather than to one of `others`.
-pub fn falls_to(server: u64, me: u64, others: &[u64]) -> bool {
+pub fn is_owner(server: u64, me: u64, others: &[u64]) -> bool {
     let own = (rank(server, me), me);
     others
         .iter()
--- a/src/direct/subset.rs
+++ b/src/direct/subset.rs
@@ -5,7 +5,7 @@
 //! servers are split by their keys, alike at all entries, and each request draws its part.
 
 /// Most servers of a part that are expected. Parts are halves of halves, so most have fewer.
-pub const MOST: usize = 256;
+pub const MAX_SERVERS: usize = 256;
 
 /// A part of a fleet: the servers whose keys begin with the same bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
     /// The part of a fleet of `servers` in which a request with this draw is placed.
     pub fn draw(servers: usize, draw: u64) -> Self {
-        let parts = servers.div_ceil(MOST).max(1).next_power_of_two();
+        let parts = servers.div_ceil(MAX_SERVERS).max(1).next_power_of_two();
         let bits = parts.trailing_zeros();
         Self {
             bits,
@@ -31,7 +31,7 @@
     }
 
     /// Whether the server with this key belongs to it.
-    pub fn holds(self, key: u64) -> bool {
+    pub fn contains(self, key: u64) -> bool {
         lead(key, self.bits) == self.lead
     }
 }
--- a/src/direct/writing.rs
+++ b/src/direct/writing.rs
@@ -53,7 +53,7 @@
     }
 
     /// Time within which most answers of `service` are written, where the model gives `expected`.
-    pub fn most(&self, service: &str, expected: Duration) -> Duration {
+    pub fn upper_bound(&self, service: &str, expected: Duration) -> Duration {
         let known = self.ratio(service);
         expected.mul_f64(known.mean + known.deviation * MARGIN)
     }
--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -15,12 +15,12 @@
 use super::document;
 use super::event::Event;
 use super::node;
-use crate::direct::board;
 use crate::direct::budget;
 use crate::direct::catalog;
+use crate::direct::congestion;
 use crate::direct::fault;
 use crate::direct::gossip;
-use crate::direct::pressure;
+use crate::direct::load;
 use crate::direct::quota;
 use crate::direct::register;
 use crate::direct::roster;
@@ -87,9 +87,9 @@
     /// Requests sent again.
     pub budget: budget::Budget,
     /// What runs where.
-    pub board: board::Board,
+    pub board: load::Table,
     /// How much long prompts waited lately.
-    pub pressure: pressure::Pressure,
+    pub pressure: congestion::Congestion,
     /// Limits that backend servers name.
     pub quotas: quota::Quotas,
     /// What was sent to backend servers lately.
@@ -101,7 +101,7 @@
 impl State {
     /// Takes note of whether long prompts wait.
     pub fn observe_pressure(&mut self, now: Duration) {
-        let waits = self.board.any_waits(now);
+        let waits = self.board.has_waiting(now);
         self.pressure.observe(now, waits);
     }
 }
@@ -148,8 +148,8 @@
             healths: fault::Healths::default(),
             suspects: fault::Suspects::default(),
             budget: budget::Budget::new(settings.retries),
-            board: board::Board::default(),
-            pressure: pressure::Pressure::default(),
+            board: load::Table::default(),
+            pressure: congestion::Congestion::default(),
             quotas: quota::Quotas::default(),
             tally: tally::Tally::default(),
             writing: writing::Writing::default(),
--- a/src/edge/direct/account.rs
+++ b/src/edge/direct/account.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::Direct;
-use crate::direct::board;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::quota;
 use crate::direct::register;
 use crate::direct::tally;
@@ -34,7 +34,7 @@
         if named == quota::Named::Nothing && state.quotas.is_empty() {
             return;
         }
-        let server = board::server_key(life);
+        let server = load::server_key(life);
         let Some(word) = state.quotas.heard(now, server, sent, named, source) else {
             return;
         };
@@ -77,7 +77,7 @@
         };
         let mut limited = 0;
         for life in lives {
-            let Some(limit) = state.quotas.limit(board::server_key(&life)) else {
+            let Some(limit) = state.quotas.limit(load::server_key(&life)) else {
                 continue;
             };
             limited += 1;
--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -19,7 +19,7 @@
 use super::reserve;
 use super::stream;
 use crate::direct::catalog;
-use crate::direct::patience;
+use crate::direct::deadline;
 use crate::direct::quota;
 use crate::direct::register;
 use crate::direct::tally;
@@ -120,7 +120,7 @@
     ) -> impl Future<Output = ()> + use<> {
         let is_sized = course.engine.is_some() && course.ask.size.is_some();
         let may_repeat = is_sized && course.route.repeatable() && after.is_none();
-        let first = Instant::now() + patience::millis(first_ms).min(course.left());
+        let first = Instant::now() + deadline::millis(first_ms).min(course.left());
         // Its prompt is being read: it is only given up if it is more likely cut than answered.
         let writing = course.mean_writing(&self.state().writing);
         let lifetime = course.lifetime.clone();
@@ -257,7 +257,7 @@
         means: (pool::Conn, Option<reserve::Reservation>),
         head: response::Parts,
         body: body::Incoming,
-        wait: patience::Doubt,
+        wait: deadline::Silence,
     ) -> Result<Got, Missed> {
         let answer = self.dialect.answer(&head);
         if answer.not_run || answer.displaced {
@@ -292,7 +292,7 @@
         }
         let next = loop {
             let leaves = || self.may_move(course);
-            let got = time::timeout(wait.hung, reader.next(wait.quiet, leaves)).await;
+            let got = time::timeout(wait.move_after, reader.next(wait.probe_after, leaves)).await;
             match got {
                 Ok(next) => break next,
                 Err(_) if self.had_better_move(course, &reader.server.life) => {
@@ -321,18 +321,18 @@
         &self,
         course: &Course,
         server: &register::Record,
-        wait: patience::Doubt,
+        wait: deadline::Silence,
     ) -> Option<&'static str> {
         let hung = async {
             loop {
-                time::sleep(wait.hung).await;
+                time::sleep(wait.move_after).await;
                 if self.has_better(course, &server.life) {
                     return;
                 }
             }
         };
         let why = tokio::select! {
-            () = self.dead(server, wait.quiet) => SILENT,
+            () = self.dead(server, wait.probe_after) => SILENT,
             () = hung => HUNG_UP,
         };
         // It has been sent, so it counts as one that may have run.
@@ -374,12 +374,12 @@
 }
 
 /// How long an attempt waits before it doubts its server.
-fn doubt(course: &Course, first_ms: f64) -> patience::Doubt {
+fn doubt(course: &Course, first_ms: f64) -> deadline::Silence {
     let alone = course.engine.zip(course.ask.size);
     let alone_ms = alone.map_or(0.0, |(engine, size)| engine.read_ms(size.prompt, 1));
     let can_move =
         course.route.repeatable() && course.past.ran + 1 < course.route.most_servers.max(1);
-    patience::Doubt::new(&course.route, can_move, (first_ms, alone_ms), course.left())
+    deadline::Silence::new(&course.route, can_move, (first_ms, alone_ms), course.left())
 }
 
 /// What the end of a sent attempt without an answer was.
--- a/src/edge/direct/checkup.rs
+++ b/src/edge/direct/checkup.rs
@@ -10,8 +10,8 @@
 use tokio::time;
 
 use super::Direct;
-use crate::direct::board;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::register;
 use crate::direct::rendezvous;
 
@@ -49,12 +49,12 @@
     let servers = engines.flat_map(|one| state.register.ready_keyed(now, &one.name));
     // A server that names a limit is not asked: questions count against it.
     let open = servers.filter(|one| !state.is_limited(&one.record.life));
-    let own = open.filter(|one| rendezvous::falls_to(one.key, me, &others));
+    let own = open.filter(|one| rendezvous::is_owner(one.key, me, &others));
     own.map(|one| one.record.clone()).collect()
 }
 
 fn process_key(addr: SocketAddr) -> u64 {
-    board::key(&addr.to_string())
+    load::key(&addr.to_string())
 }
 
 async fn check(direct: Arc<Direct>, server: register::Record) {
@@ -69,7 +69,7 @@
     }
     let same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
     if !same {
-        let key = board::server_key(&server.life);
+        let key = load::server_key(&server.life);
         direct.tell(gossip::News::Paces(vec![(key, pace)]));
     }
 }
@@ -78,7 +78,7 @@
     /// Sends nothing new to a server for a while, and tells the others to do so.
     pub(super) fn suspect(&self, server: &register::Life) {
         self.missed(server, "a call broke off that may not be repeated");
-        let key = board::server_key(server);
+        let key = load::server_key(server);
         self.tell(gossip::News::Paces(vec![(key, SILENT)]));
     }
 
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -13,10 +13,10 @@
 use super::progress;
 use super::standing;
 use super::turn;
-use crate::direct::board;
-use crate::direct::patience;
+use crate::direct::deadline;
+use crate::direct::load;
 use crate::direct::place;
-use crate::direct::place::lone;
+use crate::direct::place::single;
 use crate::direct::quota;
 use crate::direct::register;
 use crate::direct::subset;
@@ -57,13 +57,13 @@
 /// A request's place on the board, given back when it is dropped.
 pub struct Seat {
     direct: Arc<Direct>,
-    ticket: board::Ticket,
+    ticket: load::Ticket,
 }
 
 impl Seat {
     /// The first event came.
     pub fn wrote(&self) {
-        self.direct.state().board.wrote(self.ticket);
+        self.direct.state().board.start_writing(self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -71,7 +71,7 @@
 impl Drop for Seat {
     fn drop(&mut self) {
         let now = self.direct.node.now();
-        self.direct.state().board.leave(now, self.ticket);
+        self.direct.state().board.remove(now, self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -100,7 +100,7 @@
             return Choice::Nowhere;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.any_waits(now);
+        let any_waits = state.board.has_waiting(now);
         let placed = match reading {
             Reading::Lane => locate(course, &servers, any_waits),
             Reading::Beside => beside(course, &servers, any_waits),
@@ -136,41 +136,41 @@
     ) -> Chosen {
         let now = self.node.now();
         let prompt = course.ask.size.map_or(0, |size| size.prompt);
-        let part = |(at, memory): (usize, u64)| board::Part {
+        let part = |(at, memory): (usize, u64)| load::Segment {
             server: servers[at].key,
-            read_ms: place.part_ms,
+            read_ms: place.segment_ms,
             memory,
         };
-        let aside: u64 = place.aside.iter().sum();
+        let aside: u64 = place.reserved.iter().sum();
         let own = (prompt + course.expected_answer()).saturating_sub(aside);
         let helpers = place
             .helpers
             .iter()
             .copied()
-            .zip(place.aside.iter().copied());
-        let chosen = std::iter::once((place.first, own)).chain(helpers);
-        let claim = board::Claim {
-            parts: chosen.map(part).collect(),
+            .zip(place.reserved.iter().copied());
+        let chosen = std::iter::once((place.writer, own)).chain(helpers);
+        let claim = load::Claim {
+            segments: chosen.map(part).collect(),
             prompt,
             answer: course.expected_answer(),
             bound_ms: course.route.pause.map_or(0, |one| one.as_millis() as u32),
             is_long: place.takes_turn,
-            reads: (now, now + patience::millis(place.first_ms)),
+            reads: (now, now + deadline::millis(place.first_ms)),
         };
-        let limit = state.quotas.limit(servers[place.first].key);
-        let ticket = state.board.enter(now, claim);
+        let limit = state.quotas.limit(servers[place.writer].key);
+        let ticket = state.board.insert(now, claim);
         drop(state);
         self.loads_changed.notify_one();
         let seat = Seat {
             direct: Arc::clone(self),
             ticket,
         };
-        let load = servers[place.first].load;
+        let load = servers[place.writer].load;
         let limit = limit.map_or(0.0, quota::Rate::per_second);
         if self.lines.allow(Event::RequestPlaced, now) {
             log_event!(self.node.log(), Event::RequestPlaced, "request" => &course.ask.id,
                 "route" => &course.route.name, "config" => course.version,
-                "server" => &records[place.first].life, "prompt" => prompt, "aside" => place.aside.iter().sum::<u64>(),
+                "server" => &records[place.writer].life, "prompt" => prompt, "aside" => place.reserved.iter().sum::<u64>(),
                 "helpers" => place.helpers.iter().map(|at| records[*at].life.to_string()).collect::<Vec<_>>().join(","), "first_ms" => place.first_ms as u64,
                 "writers" => load.writers, "readers" => load.readers, "backlog_ms" => load.backlog_ms,
                 "limit" => limit, "objective_ms" => course.route.objective.as_millis() as u64,
@@ -179,13 +179,13 @@
                 "left_ms" => course.left().as_millis() as u64);
         }
         Chosen {
-            server: records[place.first].clone(),
+            server: records[place.writer].clone(),
             helpers: place
                 .helpers
                 .iter()
                 .map(|at| records[*at].clone())
                 .collect(),
-            aside: place.aside,
+            aside: place.reserved,
             first_ms: place.first_ms,
             seat,
         }
@@ -201,7 +201,7 @@
             return false;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.any_waits(now);
+        let any_waits = state.board.has_waiting(now);
         let writing = course.writing(&state.writing);
         drop(state);
         let place = locate(course, &servers, any_waits);
@@ -225,9 +225,9 @@
         part: subset::Subset,
     ) -> Vec<place::Server> {
         let zone = &self.node.settings().zone;
-        let view = state.board.view_of(now, part);
+        let view = state.board.view_subset(now, part);
         let server = |one: &register::Record| {
-            let key = board::server_key(&one.life);
+            let key = load::server_key(&one.life);
             place::Server {
                 key,
                 near: one.zone == *zone,
@@ -254,9 +254,7 @@
         let mut state = self.state();
         state.observe_pressure(now);
         let servers = state.register.ready(now, &course.service).count();
-        let away = state
-            .pressure
-            .turns_away(&engine, &need, objective, servers);
+        let away = state.pressure.rejection(&engine, &need, objective, servers);
         drop(state);
         let Some(away) = away else {
             return false;
@@ -264,7 +262,7 @@
         if self.lines.allow(Event::RequestAway, now) {
             log_event!(self.node.log(), Event::RequestAway, "request" => &course.ask.id,
                 "prompt" => need.prompt, "level" => away.level, "servers" => servers,
-                "part_ms" => away.part_ms as u64);
+                "part_ms" => away.fleet_ms as u64);
         }
         true
     }
@@ -359,8 +357,8 @@
 fn locate(course: &Course, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
     let alone = |first: usize, first_ms: f64| place::Place {
         first_ms,
-        part_ms: first_ms,
-        ..lone::plain(first)
+        segment_ms: first_ms,
+        ..single::plain(first)
     };
     let (Some(engine), Some(size)) = (&course.engine, course.ask.size) else {
         return place::plain(servers, course.need().draw).map(|at| alone(at, 0.0));
--- a/src/edge/direct/course.rs
+++ b/src/edge/direct/course.rs
@@ -8,10 +8,10 @@
 
 use super::dialect;
 use super::progress;
-use crate::direct::board;
 use crate::direct::catalog;
+use crate::direct::deadline;
+use crate::direct::load;
 use crate::direct::model;
-use crate::direct::patience;
 use crate::direct::place;
 use crate::direct::register;
 use crate::direct::verdict;
@@ -77,7 +77,7 @@
 
     /// Time within which the rest of its answer is most likely written.
     pub fn writing(&self, known: &writing::Writing) -> Duration {
-        known.most(&self.service, self.modelled_writing())
+        known.upper_bound(&self.service, self.modelled_writing())
     }
 
     /// The same on average.
@@ -92,37 +92,37 @@
         };
         let written = u64::from(self.progress.mark().events) * u64::from(engine.stride);
         let rest = self.expected_answer().saturating_sub(written);
-        patience::writing(engine, size.prompt, rest)
+        deadline::write_time(engine, size.prompt, rest)
     }
 
     /// Whether its answer would be whole before this process ends, if its first event comes after
     /// `first_ms`. A call is expected to take no longer than its objective.
     pub fn ends_in_life(&self, first_ms: f64, writing: Duration) -> bool {
         let first = match self.engine.zip(self.ask.size) {
-            Some(_) => patience::millis(first_ms),
+            Some(_) => deadline::millis(first_ms),
             None => self.route.objective,
         };
-        self.wait().ends_in_life(first, writing)
+        self.wait().ends_before_exit(first, writing)
     }
 
     /// Whether a request that has no place yet may have one in time.
     pub fn may_wait(&self) -> bool {
         let engine = self.engine.filter(|_| self.ask.size.is_some());
-        engine.is_some_and(|engine| self.wait().may_go_on(&engine, &self.need()))
+        engine.is_some_and(|engine| self.wait().may_still_start(&engine, &self.need()))
     }
 
     /// Whether a long prompt would be answered in time at `place`.
     pub fn allows(&self, place: &place::Place) -> bool {
         let need = self.need();
         let engine = self.engine.filter(|one| place::is_long(one, &need));
-        let first = patience::millis(place.first_ms);
+        let first = deadline::millis(place.first_ms);
         engine.is_none_or(|engine| self.wait().allows(&engine, &need, first))
     }
 
     /// Least milliseconds to its first event.
     pub fn fastest_ms(&self) -> f64 {
         let engine = self.engine.filter(|_| self.ask.size.is_some());
-        let fastest = engine.map(|engine| patience::fastest(&engine, &self.need()));
+        let fastest = engine.map(|engine| deadline::min_read_time(&engine, &self.need()));
         fastest.unwrap_or_default().as_secs_f64() * 1e3
     }
 
@@ -130,13 +130,13 @@
     pub fn may_hold(&self) -> bool {
         let engine = self.engine.filter(|_| self.ask.size.is_some());
         self.past.tried == 0
-            && engine.is_some_and(|engine| self.wait().may_hold(&engine, &self.need()))
+            && engine.is_some_and(|engine| self.wait().may_wait_at_entry(&engine, &self.need()))
     }
 
     /// How long it has waited for its first event, and may.
-    pub fn wait(&self) -> patience::Wait {
-        let wait = patience::Wait::new(&self.route, self.began.elapsed(), self.own_left());
-        wait.within(self.lifetime.left())
+    pub fn wait(&self) -> deadline::Budget {
+        let wait = deadline::Budget::new(&self.route, self.began.elapsed(), self.own_left());
+        wait.with_exit(self.lifetime.left())
     }
 
     /// What placing has to know of a request.
@@ -144,9 +144,9 @@
         place::Need {
             prompt: self.ask.size.map_or(0, |size| size.prompt),
             answer: self.expected_answer(),
-            aim: self.route.objective.saturating_sub(self.began.elapsed()),
+            objective: self.route.objective.saturating_sub(self.began.elapsed()),
             bound_ms: self.route.pause.map_or(0, |one| one.as_millis() as u32),
-            draw: board::key(&self.ask.id),
+            draw: load::key(&self.ask.id),
         }
     }
 
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -13,9 +13,9 @@
 use tokio::time;
 
 use super::Direct;
-use crate::direct::board;
-use crate::direct::bulletin;
 use crate::direct::gossip;
+use crate::direct::load;
+use crate::direct::reporter;
 use crate::direct::roster;
 use crate::edge::event::Event;
 use crate::edge::node;
@@ -74,7 +74,7 @@
     /// Whether the next word on loads is of all, not only of what changed.
     loads_whole: bool,
     /// What was last told of loads.
-    bulletin: bulletin::Bulletin,
+    bulletin: reporter::Reporter,
     pulling: Arc<AtomicBool>,
 }
 
@@ -89,7 +89,7 @@
         loads_sent: Duration::ZERO,
         loads_due: false,
         loads_whole: true,
-        bulletin: bulletin::Bulletin::default(),
+        bulletin: reporter::Reporter::default(),
         pulling: Arc::default(),
     };
     mesh.run().await;
@@ -358,13 +358,13 @@
                 loads,
                 waiting,
             } => {
-                let told = board::Told {
+                let told = load::Report {
                     whole,
                     loads,
                     waiting,
                 };
                 let board = &mut self.direct.state().board;
-                board.told(now, from.link, from.life, datagram.seq, told);
+                board.apply(now, from.link, from.life, datagram.seq, told);
             }
             gossip::News::Paces(paces) => self.direct.take_paces(&paces),
             gossip::News::Died(request, server) => {
--- a/src/edge/direct/permit.rs
+++ b/src/edge/direct/permit.rs
@@ -14,10 +14,10 @@
 use super::choose::Chosen;
 use super::course::Course;
 use super::standing;
-use crate::direct::board;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::place;
-use crate::direct::place::lone;
+use crate::direct::place::single;
 use crate::direct::quota;
 use crate::direct::register;
 use crate::direct::subset;
@@ -92,7 +92,7 @@
         let most = match occasion {
             Occasion::Spare => Duration::ZERO,
             Occasion::Full => WAIT_BESIDE,
-            Occasion::Only => course.wait().for_grant(),
+            Occasion::Only => course.wait().grant_timeout(),
         };
         let slot = match self.granted(&course.service, &servers, most).await {
             Ok(slot) => slot,
@@ -121,7 +121,7 @@
         if occasion == Occasion::Spare {
             // Others may ask as well once nobody knows whether the limit goes on.
             records.retain(|one| {
-                let server = board::server_key(&one.life);
+                let server = load::server_key(&one.life);
                 let is_free = is_grantor && state.quotas.is_free(now, server);
                 is_free || state.quotas.is_stale(now, server)
             });
@@ -255,7 +255,7 @@
 
     /// Something goes to a server that names a limit and cannot wait for a grant.
     pub(super) fn charge(&self, life: &register::Life) {
-        let server = board::server_key(life);
+        let server = load::server_key(life);
         let service = {
             let state = self.state();
             if state.quotas.limit(server).is_none() {
@@ -335,12 +335,14 @@
     let (Some(engine), Some(_)) = (&course.engine, course.ask.size) else {
         let taken = server.load.readers + server.load.writers;
         let is_free = taken < server.slots || occasion == Occasion::Only;
-        return is_free.then(|| lone::plain(0));
+        return is_free.then(|| single::plain(0));
     };
     let need = course.need();
-    let place = lone::engine(engine, &need, server, 0)?;
+    let place = single::engine(engine, &need, server, 0)?;
     let would_do = match occasion {
-        Occasion::Spare => !place::is_long(engine, &need) && place.is_surely_on_time(need.aim),
+        Occasion::Spare => {
+            !place::is_long(engine, &need) && place.is_surely_on_time(need.objective)
+        }
         Occasion::Full => !place.is_full(course.route.objective),
         Occasion::Only => true,
     };
@@ -350,6 +352,6 @@
 impl State {
     /// Whether a server names a limit.
     pub(super) fn is_limited(&self, life: &register::Life) -> bool {
-        !self.quotas.is_empty() && self.quotas.limit(board::server_key(life)).is_some()
+        !self.quotas.is_empty() && self.quotas.limit(load::server_key(life)).is_some()
     }
 }
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -25,7 +25,7 @@
 use super::span;
 use super::stream;
 use crate::direct::catalog;
-use crate::direct::patience;
+use crate::direct::deadline;
 use crate::direct::register;
 use crate::direct::verdict;
 use crate::edge::event::Event;
@@ -307,7 +307,7 @@
             yield Ok(body::Frame::data(first.bytes));
             let limit = time::Instant::from_std(course.end);
             loop {
-                let next = time::timeout_at(limit, time::timeout(patience::stuck(&course.route), reader.next(patience::QUIET, || direct.may_move(&course))));
+                let next = time::timeout_at(limit, time::timeout(deadline::stall_timeout(&course.route), reader.next(deadline::PROBE_AFTER, || direct.may_move(&course))));
                 let lost = match next.await {
                     Ok(Ok(stream::Next::Piece(piece))) => {
                         span.passed(piece.events);
@@ -360,7 +360,7 @@
         if course.past.ran > 1 {
             return;
         }
-        let expected = patience::writing(engine, size.prompt, course.expected_answer());
+        let expected = deadline::write_time(engine, size.prompt, course.expected_answer());
         let mut state = self.state();
         state.writing.observe(&course.service, took, expected);
     }
--- a/src/edge/direct/standing.rs
+++ b/src/edge/direct/standing.rs
@@ -25,7 +25,7 @@
     if part != subset::Subset::WHOLE {
         let of_part: Vec<register::Ready<'_>> = ready
             .iter()
-            .filter(|one| part.holds(one.key))
+            .filter(|one| part.contains(one.key))
             .copied()
             .collect();
         let good = in_good_standing(state, now, course, &of_part);
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -5,7 +5,7 @@
 
 use super::Direct;
 use super::course::Course;
-use crate::direct::board;
+use crate::direct::load;
 use crate::direct::place;
 use crate::edge::event::Event;
 use crate::log_event;
@@ -21,7 +21,7 @@
 /// A long prompt's place in the line of those that wait, given back when it is dropped.
 pub(super) struct Turn {
     direct: Arc<Direct>,
-    ticket: Option<board::Ticket>,
+    ticket: Option<load::Ticket>,
     rank: u32,
 }
 
@@ -56,7 +56,7 @@
         self.rank = course.wait().rank(engine, &course.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
-        self.ticket = Some(state.board.wait(self.ticket, self.rank));
+        self.ticket = Some(state.board.enqueue(self.ticket, self.rank));
         let now = self.direct.node.now();
         let ahead = state.board.ahead(now, self.rank);
         drop(state);
@@ -83,7 +83,7 @@
     /// Gives its place in the line back.
     pub(super) fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.direct.state().board.stop_waiting(ticket);
+            self.direct.state().board.dequeue(ticket);
             self.direct.loads_changed.notify_one();
         }
     }
--- a/tests/answer_forecast.rs
+++ b/tests/answer_forecast.rs
@@ -11,17 +11,17 @@
     for ratio in ratios {
         writing.observe("pool", SECOND.mul_f64(*ratio), SECOND);
     }
-    writing.most("pool", SECOND)
+    writing.upper_bound("pool", SECOND)
 }
 
 #[test]
 fn unseen_service() {
     let writing = Writing::default();
     assert!(
-        writing.most("pool", SECOND) > SECOND,
+        writing.upper_bound("pool", SECOND) > SECOND,
         "servers read beside writing"
     );
-    assert_eq!(writing.most("pool", Duration::ZERO), Duration::ZERO);
+    assert_eq!(writing.upper_bound("pool", Duration::ZERO), Duration::ZERO);
 }
 
 #[test]
@@ -52,15 +52,15 @@
     for _ in 0..50 {
         writing.observe("slow", SECOND * 5, SECOND);
     }
-    assert!(writing.most("slow", SECOND) > SECOND * 4);
+    assert!(writing.upper_bound("slow", SECOND) > SECOND * 4);
     assert_eq!(
-        writing.most("pool", SECOND),
-        Writing::default().most("pool", SECOND)
+        writing.upper_bound("pool", SECOND),
+        Writing::default().upper_bound("pool", SECOND)
     );
     writing.observe("pool", SECOND, Duration::ZERO);
     assert_eq!(
-        writing.most("pool", SECOND),
-        Writing::default().most("pool", SECOND)
+        writing.upper_bound("pool", SECOND),
+        Writing::default().upper_bound("pool", SECOND)
     );
 }
 
@@ -72,5 +72,5 @@
     }
     let mean = writing.mean("pool", SECOND);
     assert!(mean > SECOND * 2 && mean < SECOND * 3, "{mean:?}");
-    assert!(mean < writing.most("pool", SECOND));
+    assert!(mean < writing.upper_bound("pool", SECOND));
 }
--- a/tests/common/engines.rs
+++ b/tests/common/engines.rs
@@ -29,7 +29,7 @@
     Need {
         prompt,
         answer: 1_200,
-        aim: Duration::from_millis(300),
+        objective: Duration::from_millis(300),
         bound_ms: 250,
         draw: 1,
     }
@@ -37,7 +37,7 @@
 
 pub fn long(prompt: u64) -> Need {
     Need {
-        aim: Duration::from_secs(4),
+        objective: Duration::from_secs(4),
         bound_ms: 1_000,
         ..short(prompt)
     }
--- a/tests/engine_places.rs
+++ b/tests/engine_places.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wigeonbarrow::direct::board;
-use wigeonbarrow::direct::board::Board;
-use wigeonbarrow::direct::board::Load;
 use wigeonbarrow::direct::lane;
 use wigeonbarrow::direct::lane::Lane;
+use wigeonbarrow::direct::load;
+use wigeonbarrow::direct::load::Load;
+use wigeonbarrow::direct::load::Table;
 use wigeonbarrow::direct::place;
 use wigeonbarrow::direct::place::Need;
 use wigeonbarrow::direct::place::Server;
@@ -84,11 +84,11 @@
         write_tight(server, 8);
     }
     let place = put(&long(182_000), &servers);
-    let lanes = lane::lanes(&servers, true, lane::Strays::Few);
-    for at in place.helpers.iter().chain([&place.first]) {
+    let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
+    for at in place.helpers.iter().chain([&place.writer]) {
         assert_ne!(lanes[*at], Lane::Tight, "{place:?}");
     }
-    assert_eq!(lanes[place.first], Lane::Write);
+    assert_eq!(lanes[place.writer], Lane::Write);
     assert!(place.helpers.len() > 4, "{place:?}");
     assert!(place.first_ms < 1_000.0, "{place:?}");
 }
@@ -100,7 +100,7 @@
     write_tight(&mut servers[1], 3);
     servers[0].load.backlog_ms = 800;
     let place = put(&short(5_000), &servers);
-    assert_eq!(place.first, 1, "{place:?}");
+    assert_eq!(place.writer, 1, "{place:?}");
 }
 
 /// While short work holds every server, a long prompt that comes is not read beside all of it: 14
@@ -126,7 +126,7 @@
     let place = put(&short(23_000), &servers);
     assert!(!place.helpers.is_empty());
     let pass = engine().pass_ms(7, 60_000);
-    assert!(pass + place.part_ms < 250.0 * 0.85, "{place:?}");
+    assert!(pass + place.segment_ms < 250.0 * 0.85, "{place:?}");
 }
 
 /// A burst of short work leaves one server to the lane of reading: parts go to others as well.
@@ -136,27 +136,27 @@
     for server in &mut servers[..11] {
         write_tight(server, 15);
     }
-    let lanes = lane::lanes(&servers, true, lane::Strays::Few);
+    let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
     let reading = lanes.iter().filter(|lane| **lane == Lane::Read).count();
     assert_eq!(reading, 1, "{lanes:?}");
     let need = Need {
         bound_ms: 600,
-        aim: Duration::from_millis(1_500),
+        objective: Duration::from_millis(1_500),
         ..short(45_000)
     };
     let place = put(&need, &servers);
     assert_eq!(place.helpers.len(), 6, "{place:?}");
-    assert!(place.part_ms < 70.0, "{place:?}");
+    assert!(place.segment_ms < 70.0, "{place:?}");
 }
 
 /// Reads that follow each other closely stretch a pause as one of their sum does.
 #[test]
 fn reads_add_up() {
-    let mut board = Board::default();
+    let mut board = Table::default();
     for at in 0..6 {
         let now = NOW + Duration::from_millis(40) * at;
-        let ticket = board.enter(now, claim(1, 35.0));
-        board.wrote(ticket);
+        let ticket = board.insert(now, claim(1, 35.0));
+        board.start_writing(ticket);
     }
     let now = NOW + Duration::from_millis(210);
     let load = board.view(now)[&1];
@@ -171,14 +171,14 @@
     }
     servers[0].load.lately_ms = 150;
     let place = put(&short(5_000), &servers);
-    assert_eq!(place.first, 1, "{place:?}");
+    assert_eq!(place.writer, 1, "{place:?}");
 }
 
 #[test]
 fn lanes_follow_load() {
     let mut servers = servers(14);
     let kept = |servers: &[Server], waits: bool| {
-        let lanes = lane::lanes(servers, waits, lane::Strays::Few);
+        let lanes = lane::lanes(servers, waits, lane::Sharing::Few);
         lanes.iter().filter(|lane| **lane == Lane::Tight).count()
     };
     assert_eq!(kept(&servers, true), 2, "two at least, that one may fail");
@@ -208,7 +208,7 @@
         for server in &mut servers[..busy] {
             write_tight(server, 12);
         }
-        let lanes = lane::lanes(&servers, true, lane::Strays::Few);
+        let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
         assert_eq!(lanes[9], Lane::Write, "{busy} busy: {lanes:?}");
         let place = put(&long(182_000), &servers);
         assert!(!place.helpers.contains(&9), "{place:?}");
@@ -278,13 +278,16 @@
     for server in &mut servers[..5] {
         write_tight(server, 8);
     }
-    let lanes = lane::lanes(&servers, true, lane::Strays::Few);
+    let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
     assert_eq!(lanes[4], Lane::Drain, "{lanes:?}");
     let place = put(&long(182_000), &servers);
-    assert!(place.first != 4 && !place.helpers.contains(&4), "{place:?}");
+    assert!(
+        place.writer != 4 && !place.helpers.contains(&4),
+        "{place:?}"
+    );
     write_tight(&mut servers[4], 1);
     assert_ne!(
-        lane::lanes(&servers, true, lane::Strays::Few)[4],
+        lane::lanes(&servers, true, lane::Sharing::Few)[4],
         Lane::Drain
     );
 }
@@ -308,7 +311,10 @@
     let mut servers = servers(12);
     servers[9].pace = 4.0;
     let place = put(&long(182_000), &servers);
-    assert!(!place.helpers.contains(&9) && place.first != 9, "{place:?}");
+    assert!(
+        !place.helpers.contains(&9) && place.writer != 9,
+        "{place:?}"
+    );
 }
 
 /// What does not fit one server's memory is set aside at helpers: enough, and no more there than
@@ -319,10 +325,10 @@
     servers[12].load.memory = 300_000;
     let need = long(900_000);
     let place = put(&need, &servers);
-    let aside: u64 = place.aside.iter().sum();
+    let aside: u64 = place.reserved.iter().sum();
     assert!(aside + 405_000 >= need.prompt + need.answer, "{place:?}");
-    assert!(place.helpers.len() < place::MOST_WIDTH);
-    for (at, tokens) in place.helpers.iter().zip(&place.aside) {
+    assert!(place.helpers.len() < place::MAX_WIDTH);
+    for (at, tokens) in place.helpers.iter().zip(&place.reserved) {
         let free = 405_000 - servers[*at].load.memory;
         assert!(*tokens <= free, "{at}: {tokens} of {free}");
     }
@@ -344,7 +350,7 @@
 fn most_helpers() {
     let place = put(&long(400_000), &servers(60));
     assert!(
-        place.helpers.len() < place::MOST_WIDTH,
+        place.helpers.len() < place::MAX_WIDTH,
         "{}",
         place.helpers.len()
     );
@@ -375,9 +381,9 @@
     );
 }
 
-fn claim(server: u64, read_ms: f64) -> board::Claim {
-    board::Claim {
-        parts: vec![board::Part {
+fn claim(server: u64, read_ms: f64) -> load::Claim {
+    load::Claim {
+        segments: vec![load::Segment {
             server,
             read_ms,
             memory: 1_000,
@@ -390,11 +396,11 @@
     }
 }
 
-fn told(board: &Board, now: Duration, whole: bool) -> board::Told {
-    board::Told {
+fn told(board: &Table, now: Duration, whole: bool) -> load::Report {
+    load::Report {
         whole,
         loads: board.own_loads(now),
-        waiting: board.own_waiting(),
+        waiting: board.waiting_ranks(),
     }
 }
 
@@ -407,15 +413,15 @@
 /// Words that are lost, doubled or late change nothing in the end.
 #[test]
 fn lost_words() {
-    let mut here = Board::default();
-    let mut there = Board::default();
+    let mut here = Table::default();
+    let mut there = Table::default();
     let mut words = Vec::new();
     for _ in 0..5 {
-        there.enter(NOW, claim(7, 100.0));
+        there.insert(NOW, claim(7, 100.0));
         words.push(told(&there, NOW, true));
     }
     for (seq, at) in [(1, 0), (4, 3), (2, 1), (4, 3), (5, 4)] {
-        here.told(NOW, from(1), LIFE, seq, words[at].clone());
+        here.apply(NOW, from(1), LIFE, seq, words[at].clone());
     }
     let load = here.view(NOW)[&7];
     assert_eq!((load.readers, load.backlog_ms), (5, 500));
@@ -423,19 +429,19 @@
 
 #[test]
 fn work_runs_off() {
-    let mut board = Board::default();
-    let ticket = board.enter(NOW, claim(7, 400.0));
+    let mut board = Table::default();
+    let ticket = board.insert(NOW, claim(7, 400.0));
     let later = NOW + Duration::from_millis(300);
     assert_eq!(board.view(later)[&7].backlog_ms, 100);
-    board.leave(later, ticket);
+    board.remove(later, ticket);
     assert_eq!(board.view(later).get(&7).map_or(0, |one| one.backlog_ms), 0);
 }
 
 /// A server that takes longer than predicted does not look free at once, nor busy for good.
 #[test]
 fn overdue_read() {
-    let mut board = Board::default();
-    board.enter(NOW, claim(7, 400.0));
+    let mut board = Table::default();
+    board.insert(NOW, claim(7, 400.0));
     let just_over = NOW + Duration::from_millis(450);
     assert_eq!(board.view(just_over)[&7].backlog_ms, 200);
     let long_over = NOW + Duration::from_secs(5);
@@ -444,12 +450,12 @@
 
 #[test]
 fn shortest_first() {
-    let mut here = Board::default();
-    let ticket = here.wait(None, 900);
+    let mut here = Table::default();
+    let ticket = here.enqueue(None, 900);
     assert!(here.is_first(NOW, ticket, 900));
-    let mut there = Board::default();
-    there.wait(None, 300);
-    here.told(NOW, from(1), LIFE, 1, told(&there, NOW, true));
+    let mut there = Table::default();
+    there.enqueue(None, 300);
+    here.apply(NOW, from(1), LIFE, 1, told(&there, NOW, true));
     assert!(!here.is_first(NOW, ticket, 900));
     // The other entry has died: nobody waits for it for long.
     assert!(here.is_first(NOW + Duration::from_secs(2), ticket, 900));
@@ -458,11 +464,11 @@
 /// Who has just come does not go before those that wait and are shorter.
 #[test]
 fn newcomer_waits() {
-    let mut here = Board::default();
-    here.wait(None, 300);
-    let mut there = Board::default();
-    there.wait(None, 500);
-    here.told(NOW, from(1), LIFE, 1, told(&there, NOW, true));
+    let mut here = Table::default();
+    here.enqueue(None, 300);
+    let mut there = Table::default();
+    there.enqueue(None, 500);
+    here.apply(NOW, from(1), LIFE, 1, told(&there, NOW, true));
     assert_eq!(here.ahead(NOW, 200), 0);
     assert_eq!(here.ahead(NOW, 400), 1);
     assert_eq!(here.ahead(NOW, 600), 2);
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -3,34 +3,32 @@
 
 use std::collections::BTreeMap;
 
-use wigeonbarrow::direct::board;
+use wigeonbarrow::direct::load;
 use wigeonbarrow::direct::subset;
 use wigeonbarrow::direct::subset::Subset;
 
 fn keys(count: usize) -> Vec<u64> {
-    (0..count)
-        .map(|at| board::key(&format!("i-{at}")))
-        .collect()
+    (0..count).map(|at| load::key(&format!("i-{at}"))).collect()
 }
 
 fn draws(count: usize) -> Vec<u64> {
     (0..count)
-        .map(|at| board::key(&format!("request-{at}")))
+        .map(|at| load::key(&format!("request-{at}")))
         .collect()
 }
 
 fn size(part: Subset, keys: &[u64]) -> usize {
-    keys.iter().filter(|key| part.holds(**key)).count()
+    keys.iter().filter(|key| part.contains(**key)).count()
 }
 
 #[test]
 fn small_fleet_whole() {
-    for servers in [0, 1, 14, 117, subset::MOST] {
+    for servers in [0, 1, 14, 117, subset::MAX_SERVERS] {
         for draw in draws(20) {
             assert_eq!(Subset::draw(servers, draw), Subset::WHOLE);
         }
     }
-    assert!(keys(20).into_iter().all(|key| Subset::WHOLE.holds(key)));
+    assert!(keys(20).into_iter().all(|key| Subset::WHOLE.contains(key)));
 }
 
 /// Without parts each choice weighs all 12,000, and an entry does nothing else.
@@ -41,8 +39,8 @@
         for draw in draws(200) {
             let size = size(Subset::draw(servers, draw), &keys);
             // A fair half of MOST, with room for uneven keys.
-            assert!(size >= subset::MOST / 4, "{size} of {servers}");
-            assert!(size <= subset::MOST * 3 / 2, "{size} of {servers}");
+            assert!(size >= subset::MAX_SERVERS / 4, "{size} of {servers}");
+            assert!(size <= subset::MAX_SERVERS * 3 / 2, "{size} of {servers}");
         }
     }
 }
@@ -58,7 +56,7 @@
         let part = Subset::draw(keys.len(), draw);
         *parts.entry(format!("{part:?}")).or_default() += 1;
         for (at, key) in keys.iter().enumerate() {
-            drawn[at] += u32::from(part.holds(*key));
+            drawn[at] += u32::from(part.contains(*key));
         }
     }
     let mean = count as u32 / parts.len() as u32;
@@ -71,12 +69,12 @@
 /// A fleet that loses most of its servers is one part again.
 #[test]
 fn shrunk_fleet_whole() {
-    let draw = board::key("request");
+    let draw = load::key("request");
     let large = Subset::draw(3_000, draw);
     assert_ne!(large, Subset::WHOLE);
     assert_eq!(Subset::draw(200, draw), Subset::WHOLE);
     // A part of a smaller fleet holds all servers of the same draw's part of a larger one.
     let middle = Subset::draw(1_000, draw);
-    let of_large = keys(3_000).into_iter().filter(|key| large.holds(*key));
-    assert!(of_large.into_iter().all(|key| middle.holds(key)));
+    let of_large = keys(3_000).into_iter().filter(|key| large.contains(*key));
+    assert!(of_large.into_iter().all(|key| middle.contains(key)));
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -6,10 +6,10 @@
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use wigeonbarrow::direct::board::Load;
 use wigeonbarrow::direct::catalog::Kind;
 use wigeonbarrow::direct::catalog::Route;
-use wigeonbarrow::direct::patience::Wait;
+use wigeonbarrow::direct::deadline::Budget;
+use wigeonbarrow::direct::load::Load;
 use wigeonbarrow::direct::place;
 use wigeonbarrow::direct::place::Need;
 use wigeonbarrow::direct::place::Place;
@@ -77,7 +77,7 @@
         let mut out: Vec<Server> = (0..SERVERS).map(|at| self.server(now, at)).collect();
         for run in self.runs.iter().filter(|one| now < one.read_at + WRITES) {
             let reads = now < run.read_at;
-            let first = &mut out[run.place.first].load;
+            let first = &mut out[run.place.writer].load;
             first.memory += run.prompt;
             first.bound_ms = first
                 .bound_ms
@@ -90,7 +90,7 @@
                 first.context += run.prompt;
             }
             if reads && run.place.takes_turn {
-                for at in run.place.helpers.iter().chain([&run.place.first]) {
+                for at in run.place.helpers.iter().chain([&run.place.writer]) {
                     out[*at].load.long += 1;
                 }
             }
@@ -121,9 +121,9 @@
 
     /// Starts a prompt; when its first event comes.
     fn start(&mut self, now: Duration, prompt: u64, place: Place) -> Duration {
-        let part = Duration::from_secs_f64(place.part_ms / 1e3);
+        let part = Duration::from_secs_f64(place.segment_ms / 1e3);
         let mut read_at = now;
-        for at in place.helpers.iter().chain([&place.first]) {
+        for at in place.helpers.iter().chain([&place.writer]) {
             self.free_at[*at] = self.free_at[*at].max(now) + part;
             read_at = read_at.max(self.free_at[*at]);
         }
@@ -138,9 +138,9 @@
 
     /// Servers whose tight writers wait too long for `place`.
     fn harmed(&self, place: &Place) -> u32 {
-        let all = place.helpers.iter().chain([&place.first]);
+        let all = place.helpers.iter().chain([&place.writer]);
         let most = f64::from(TIGHT_BOUND_MS) - 75.0;
-        all.filter(|at| self.tight[**at] > 0 && place.part_ms > most)
+        all.filter(|at| self.tight[**at] > 0 && place.segment_ms > most)
             .count() as u32
     }
 }
@@ -180,11 +180,11 @@
     while coming.peek().is_some() || !waiting.is_empty() {
         let wait = |one: &Caller| {
             let waited = now.saturating_sub(one.came);
-            Wait::new(&route, waited, DEADLINE.saturating_sub(waited))
+            Budget::new(&route, waited, DEADLINE.saturating_sub(waited))
         };
         let need = |one: &Caller| Need {
             bound_ms: 1_200,
-            aim: route.objective.saturating_sub(now.saturating_sub(one.came)),
+            objective: route.objective.saturating_sub(now.saturating_sub(one.came)),
             draw: one.draw,
             ..engines::long(one.prompt)
         };
@@ -197,7 +197,7 @@
             }
         }
         waiting.retain(|one| {
-            let stays = wait(one).may_go_on(&engine, &need(one));
+            let stays = wait(one).may_still_start(&engine, &need(one));
             outcome.given_up += u32::from(!stays);
             stays
         });
--- a/tests/load_bulletin.rs
+++ b/tests/load_bulletin.rs
@@ -7,9 +7,9 @@
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use wigeonbarrow::direct::board;
-use wigeonbarrow::direct::board::Board;
-use wigeonbarrow::direct::bulletin::Bulletin;
+use wigeonbarrow::direct::load;
+use wigeonbarrow::direct::load::Table;
+use wigeonbarrow::direct::reporter::Reporter;
 use wigeonbarrow::wire::id;
 
 const ENTRIES: usize = 70;
@@ -22,37 +22,37 @@
 
 #[derive(Default)]
 struct Entry {
-    board: Board,
-    bulletin: Bulletin,
+    board: Table,
+    bulletin: Reporter,
     /// What runs, and when it ends.
-    runs: Vec<(Duration, board::Ticket)>,
+    runs: Vec<(Duration, load::Ticket)>,
 }
 
 impl Entry {
     /// Gives servers work to read that is done at `ends`.
     fn read(&mut self, now: Duration, parts: &[(u64, f64)], ends: Duration) {
-        let part = |(server, read_ms): &(u64, f64)| board::Part {
+        let part = |(server, read_ms): &(u64, f64)| load::Segment {
             server: *server,
             read_ms: *read_ms,
             memory: 1_000,
         };
-        let claim = board::Claim {
-            parts: parts.iter().map(part).collect(),
+        let claim = load::Claim {
+            segments: parts.iter().map(part).collect(),
             prompt: 1_000,
             answer: 1_000,
             bound_ms: 0,
             is_long: true,
             reads: (now, ends),
         };
-        let ticket = self.board.enter(now, claim);
+        let ticket = self.board.insert(now, claim);
         self.runs.push((ends, ticket));
     }
 
     /// Ends what is read.
     fn end(&mut self, now: Duration) {
         for (_, ticket) in self.runs.extract_if(.., |(ends, _)| *ends <= now) {
-            self.board.wrote(ticket);
-            self.board.leave(now, ticket);
+            self.board.start_writing(ticket);
+            self.board.remove(now, ticket);
         }
     }
 }
@@ -83,7 +83,7 @@
 fn play(seed: u64, span: Duration) -> (u32, u32) {
     let mut draw = StdRng::seed_from_u64(seed);
     let mut entries: Vec<Entry> = (0..ENTRIES).map(|_| Entry::default()).collect();
-    let mut observer = Board::default();
+    let mut observer = Table::default();
     let mut truth: HashMap<u64, Work> = HashMap::new();
     let (mut busy, mut missed) = (0, 0);
     let mut now = Duration::from_secs(100);
@@ -112,7 +112,7 @@
             entry.end(now);
             let whole = (round + at as u32).is_multiple_of(WHOLE);
             let told = entry.bulletin.next(&entry.board, now, whole);
-            observer.told(now, addr(at), id::Incarnation(1), u64::from(round), told);
+            observer.apply(now, addr(at), id::Incarnation(1), u64::from(round), told);
         }
         let view = observer.view(now);
         for (server, work) in &truth {
@@ -146,24 +146,24 @@
 fn gone_takes_nothing() {
     let now = Duration::from_secs(100);
     let (mut early, mut late) = (Entry::default(), Entry::default());
-    let mut observer = Board::default();
+    let mut observer = Table::default();
     early.read(now, &[(7, 500.0)], now + SECOND);
     let first = early.bulletin.next(&early.board, now, true);
-    observer.told(now, addr(1), id::Incarnation(1), 1, first);
+    observer.apply(now, addr(1), id::Incarnation(1), 1, first);
 
     let now = now + Duration::from_secs(5);
     early.end(now);
     late.read(now, &[(7, 800.0)], now + SECOND);
     let work = late.bulletin.next(&late.board, now, true);
-    observer.told(now, addr(2), id::Incarnation(1), 1, work);
+    observer.apply(now, addr(2), id::Incarnation(1), 1, work);
     let gone = early.bulletin.next(&early.board, now, false);
     assert!(gone.loads.iter().any(|one| one.server == 7), "{gone:?}");
-    observer.told(now, addr(1), id::Incarnation(1), 2, gone);
+    observer.apply(now, addr(1), id::Incarnation(1), 2, gone);
     assert_eq!(observer.view(now)[&7].backlog_ms, 800);
 
     // Used again, only what is new counts.
     early.read(now, &[(7, 100.0)], now + SECOND);
     let again = early.bulletin.next(&early.board, now, false);
-    observer.told(now, addr(1), id::Incarnation(1), 3, again);
+    observer.apply(now, addr(1), id::Incarnation(1), 3, again);
     assert_eq!(observer.view(now)[&7].backlog_ms, 900);
 }
--- a/tests/long_burst.rs
+++ b/tests/long_burst.rs
@@ -8,9 +8,9 @@
 use rand::rngs::StdRng;
 use wigeonbarrow::direct::catalog::Kind;
 use wigeonbarrow::direct::catalog::Route;
-use wigeonbarrow::direct::patience::Wait;
+use wigeonbarrow::direct::congestion::Congestion;
+use wigeonbarrow::direct::deadline::Budget;
 use wigeonbarrow::direct::place::Need;
-use wigeonbarrow::direct::pressure::Pressure;
 
 #[path = "common/engines.rs"]
 mod engines;
@@ -80,7 +80,7 @@
 
 fn play(callers: &[Caller], turns_away: bool) -> Outcome {
     let (engine, route) = (engines::engine(), route());
-    let mut pressure = Pressure::default();
+    let mut pressure = Congestion::default();
     let mut outcome = Outcome {
         asked: callers.len(),
         large: callers.iter().filter(|one| one.prompt > LARGE).count(),
@@ -102,7 +102,7 @@
             .collect();
         for one in back {
             let need = one.need(now);
-            let away = pressure.turns_away(&engine, &need, route.objective, SERVERS);
+            let away = pressure.rejection(&engine, &need, route.objective, SERVERS);
             if away.is_some() {
                 outcome.away += 1;
             } else {
@@ -111,7 +111,7 @@
         }
         waiting.retain(|one| {
             let need = one.need(now);
-            let away = pressure.turns_away(&engine, &need, route.objective, SERVERS);
+            let away = pressure.rejection(&engine, &need, route.objective, SERVERS);
             if turns_away && away.is_some() {
                 if now.saturating_sub(one.came) < COME_BACK {
                     returning.push((now + COME_BACK, *one));
@@ -120,7 +120,7 @@
                 }
                 return false;
             }
-            let stays = wait(&route, one, now).may_go_on(&engine, &need);
+            let stays = wait(&route, one, now).may_still_start(&engine, &need);
             if !stays {
                 outcome.given_up += 1;
                 outcome.vain += now.saturating_sub(one.came);
@@ -145,9 +145,9 @@
     outcome
 }
 
-fn wait(route: &Route, caller: &Caller, now: Duration) -> Wait {
+fn wait(route: &Route, caller: &Caller, now: Duration) -> Budget {
     let waited = now.saturating_sub(caller.came);
-    Wait::new(route, waited, DEADLINE.saturating_sub(waited))
+    Budget::new(route, waited, DEADLINE.saturating_sub(waited))
 }
 
 fn route() -> Route {
@@ -205,13 +205,13 @@
 #[test]
 fn fleet_takes_largest() {
     let engine = engines::engine();
-    let mut pressure = Pressure::default();
+    let mut pressure = Congestion::default();
     for at in 0..100 {
         pressure.observe(Duration::from_millis(at * 100), true);
     }
     let away = |servers: usize| {
         let need = engines::long(640_000);
-        let away = pressure.turns_away(&engine, &need, route().objective, servers);
+        let away = pressure.rejection(&engine, &need, route().objective, servers);
         away.is_some()
     };
     assert!(
@@ -229,19 +229,19 @@
         draw: u64::MAX,
         ..engines::long(500_000)
     };
-    let mut pressure = Pressure::default();
+    let mut pressure = Congestion::default();
     for at in 0..100 {
         pressure.observe(Duration::from_millis(at * 100), true);
     }
-    let away = pressure.turns_away(&engine, &huge, route().objective, SERVERS);
-    assert!(away.is_some_and(|one| one.level > 0.9 && one.part_ms > 800.0));
+    let away = pressure.rejection(&engine, &huge, route().objective, SERVERS);
+    assert!(away.is_some_and(|one| one.level > 0.9 && one.fleet_ms > 800.0));
     assert_eq!(
-        pressure.turns_away(&engine, &engines::long(182_000), route().objective, SERVERS),
+        pressure.rejection(&engine, &engines::long(182_000), route().objective, SERVERS),
         None
     );
     pressure.observe(Duration::from_secs(14), false);
     assert_eq!(
-        pressure.turns_away(&engine, &huge, route().objective, SERVERS),
+        pressure.rejection(&engine, &huge, route().objective, SERVERS),
         None
     );
 }
--- a/tests/long_strays.rs
+++ b/tests/long_strays.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use wigeonbarrow::direct::board::Load;
+use wigeonbarrow::direct::load::Load;
 use wigeonbarrow::direct::model::Engine;
 use wigeonbarrow::direct::place;
 use wigeonbarrow::direct::place::Need;
@@ -54,7 +54,7 @@
 }
 
 fn disturbed(place: &place::Place, servers: &[Server]) -> usize {
-    let all = place.helpers.iter().chain([&place.first]);
+    let all = place.helpers.iter().chain([&place.writer]);
     all.filter(|at| servers[**at].load.tight > 0).count()
 }
 
@@ -89,7 +89,7 @@
 fn overdue_takes_strays() {
     let servers = servers(14, 1);
     let need = Need {
-        aim: Duration::ZERO,
+        objective: Duration::ZERO,
         ..engines::long(220_000)
     };
     let place = place::engine(&engine(), &need, &servers, true).expect("there is room");
--- a/tests/request_patience.rs
+++ b/tests/request_patience.rs
@@ -4,9 +4,9 @@
 
 use wigeonbarrow::direct::catalog::Kind;
 use wigeonbarrow::direct::catalog::Route;
-use wigeonbarrow::direct::patience;
-use wigeonbarrow::direct::patience::Doubt;
-use wigeonbarrow::direct::patience::Wait;
+use wigeonbarrow::direct::deadline;
+use wigeonbarrow::direct::deadline::Budget;
+use wigeonbarrow::direct::deadline::Silence;
 use wigeonbarrow::direct::place::Need;
 
 #[path = "common/engines.rs"]
@@ -28,8 +28,8 @@
     engines::route(Kind::Stream, ms(300), Some(ms(250)))
 }
 
-fn wait(waited_ms: u64) -> Wait {
-    Wait::new(&long_route(), ms(waited_ms), ms(15_000 - waited_ms))
+fn wait(waited_ms: u64) -> Budget {
+    Budget::new(&long_route(), ms(waited_ms), ms(15_000 - waited_ms))
 }
 
 fn rank(need: &Need, waited_ms: u64) -> u32 {
@@ -57,7 +57,7 @@
 /// Callers give up a silent stream after the longest of 2 s, four objectives and eight pauses.
 #[test]
 fn callers_give_up() {
-    let left = |route: &Route, waited| Wait::new(route, ms(waited), ms(10_000)).left;
+    let left = |route: &Route, waited| Budget::new(route, ms(waited), ms(10_000)).until_abandoned;
     assert_eq!(left(&short_route(), 500), ms(1_500));
     let mut slow = short_route();
     slow.pause = Some(ms(600));
@@ -75,13 +75,13 @@
 #[test]
 fn short_holds() {
     let holds = |waited| {
-        let wait = Wait::new(&short_route(), ms(waited), ms(10_000 - waited));
-        wait.may_hold(&engine(), &short(5_000))
+        let wait = Budget::new(&short_route(), ms(waited), ms(10_000 - waited));
+        wait.may_wait_at_entry(&engine(), &short(5_000))
     };
     assert!(holds(0) && holds(1_000));
     assert!(!holds(1_200), "it is sent while its caller is still there");
     assert!(
-        !wait(0).may_hold(&engine(), &long(182_000)),
+        !wait(0).may_wait_at_entry(&engine(), &long(182_000)),
         "it takes turns"
     );
 }
@@ -90,7 +90,7 @@
 fn too_late_to_begin() {
     let engine = engine();
     let may = |need: &Need, left| {
-        Wait::new(&long_route(), ms(15_000 - left), ms(left)).may_go_on(&engine, need)
+        Budget::new(&long_route(), ms(15_000 - left), ms(left)).may_still_start(&engine, need)
     };
     assert!(may(&long(400_000), 10_000));
     assert!(!may(&long(400_000), 1_000), "17 engines read it for 0.9 s");
@@ -105,14 +105,14 @@
 fn whole_in_time() {
     let need = long(182_000);
     let allows = |left, first| {
-        let wait = Wait::new(&long_route(), ms(15_000 - left), ms(left));
+        let wait = Budget::new(&long_route(), ms(15_000 - left), ms(left));
         wait.allows(&engine(), &need, ms(first))
     };
     assert!(allows(6_000, 2_000));
     assert!(!allows(4_000, 2_000), "it writes for 3.7 s");
     let mut hasty = short_route();
     hasty.pause = None;
-    let wait = Wait::new(&hasty, ms(500), ms(14_000));
+    let wait = Budget::new(&hasty, ms(500), ms(14_000));
     assert!(
         !wait.allows(&engine(), &need, ms(2_000)),
         "its caller has left"
@@ -121,24 +121,27 @@
 
 #[test]
 fn doubts() {
-    let doubt = |route: &Route, can_move, left| Doubt::new(route, can_move, (400.0, 100.0), left);
+    let doubt = |route: &Route, can_move, left| Silence::new(route, can_move, (400.0, 100.0), left);
     let short = doubt(&short_route(), true, ms(10_000));
-    assert_eq!(short.quiet, patience::QUIET);
-    assert_eq!(short.hung, ms(1_200 + 400 + 4 * 100));
-    assert_eq!(doubt(&short_route(), false, ms(10_000)).hung, ms(10_000));
+    assert_eq!(short.probe_after, deadline::PROBE_AFTER);
+    assert_eq!(short.move_after, ms(1_200 + 400 + 4 * 100));
+    assert_eq!(
+        doubt(&short_route(), false, ms(10_000)).move_after,
+        ms(10_000)
+    );
     let call = engines::route(Kind::Safe, ms(300), None);
-    assert_eq!(doubt(&call, true, ms(10_000)).hung, ms(600));
+    assert_eq!(doubt(&call, true, ms(10_000)).move_after, ms(600));
     let over = doubt(&short_route(), true, ms(0));
     assert!(
-        over.hung > ms(0),
+        over.move_after > ms(0),
         "it would be asked for without a pause: {over:?}"
     );
 }
 
 #[test]
 fn stuck_streams() {
-    assert_eq!(patience::stuck(&short_route()), ms(1_500));
-    assert_eq!(patience::stuck(&long_route()), ms(5_000));
+    assert_eq!(deadline::stall_timeout(&short_route()), ms(1_500));
+    assert_eq!(deadline::stall_timeout(&long_route()), ms(5_000));
 }
 
 /// Beside however many others a long answer is written, a step reads no more context than its server
@@ -158,19 +161,22 @@
         answer: 2_600,
         ..long(455_000)
     };
-    assert!(wait(0).may_go_on(&engine, &need));
+    assert!(wait(0).may_still_start(&engine, &need));
     let longer = Need {
         answer: 9_000,
         ..need
     };
-    assert!(!wait(0).may_go_on(&engine, &longer), "never whole in time");
+    assert!(
+        !wait(0).may_still_start(&engine, &longer),
+        "never whole in time"
+    );
 }
 
 /// An answer that cannot be whole before its process ends is not begun, however long its caller waits.
 #[test]
 fn within_life() {
-    let at = |life| wait(0).within(life);
-    let ends = |life, first, writing| at(life).ends_in_life(ms(first), ms(writing));
+    let at = |life| wait(0).with_exit(life);
+    let ends = |life, first, writing| at(life).ends_before_exit(ms(first), ms(writing));
     assert!(ends(None, 9_000, 9_000), "no stop was asked for");
     assert!(ends(Some(ms(5_000)), 2_000, 2_900));
     assert!(!ends(Some(ms(5_000)), 2_000, 3_000));
@@ -182,6 +188,6 @@
 fn life_keeps_rank() {
     let need = long(182_000);
     let ranks = [None, Some(ms(7_000)), Some(ms(100))];
-    let ranks = ranks.map(|life| wait(5_000).within(life).rank(&engine(), &need));
+    let ranks = ranks.map(|life| wait(5_000).with_exit(life).rank(&engine(), &need));
     assert!(ranks.iter().all(|one| *one == ranks[0]), "{ranks:?}");
 }
--- a/tests/server_duties.rs
+++ b/tests/server_duties.rs
@@ -1,6 +1,6 @@
 //! Which entry asks a backend server how it is.
 
-use wigeonbarrow::direct::board;
+use wigeonbarrow::direct::load;
 use wigeonbarrow::direct::rendezvous;
 
 const SERVERS: usize = 3_000;
@@ -8,7 +8,7 @@
 
 fn keys(name: &str, count: usize) -> Vec<u64> {
     (0..count)
-        .map(|at| board::key(&format!("{name}-{at}")))
+        .map(|at| load::key(&format!("{name}-{at}")))
         .collect()
 }
 
@@ -19,7 +19,7 @@
 /// Entries to which a server falls, by what each of them reckons.
 fn owners(server: u64, entries: &[u64]) -> Vec<u64> {
     let all = entries.iter().copied();
-    all.filter(|me| rendezvous::falls_to(server, *me, &others(entries, *me)))
+    all.filter(|me| rendezvous::is_owner(server, *me, &others(entries, *me)))
         .collect()
 }
 
@@ -42,7 +42,7 @@
         let others = others(&entries, *me);
         let own = servers
             .iter()
-            .filter(|one| rendezvous::falls_to(**one, *me, &others));
+            .filter(|one| rendezvous::is_owner(**one, *me, &others));
         let own = own.count();
         assert!((10..=78).contains(&own), "{own} servers fall to one entry");
     }
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wigeonbarrow::direct::board;
 use wigeonbarrow::direct::fault::Healths;
+use wigeonbarrow::direct::load;
 use wigeonbarrow::direct::register::Life;
 use wigeonbarrow::direct::register::Phase;
 use wigeonbarrow::direct::register::Record;
@@ -171,16 +171,16 @@
     assert!(!healths.is_out(NOW, &next));
     assert!((healths.pace(&next) - 1.0).abs() < 1e-9);
     assert!(healths.failing(NOW, &next) <= 0.0);
-    let mut board = board::Board::default();
-    let part = board::Part {
-        server: board::server_key(&former),
+    let mut board = load::Table::default();
+    let part = load::Segment {
+        server: load::server_key(&former),
         read_ms: 900.0,
         memory: 5_000,
     };
-    board.enter(
+    board.insert(
         NOW,
-        board::Claim {
-            parts: vec![part],
+        load::Claim {
+            segments: vec![part],
             prompt: 5_000,
             answer: 100,
             bound_ms: 250,
@@ -189,8 +189,8 @@
         },
     );
     let view = board.view(NOW);
-    assert!(view.contains_key(&board::server_key(&former)));
-    assert!(!view.contains_key(&board::server_key(&next)));
+    assert!(view.contains_key(&load::server_key(&former)));
+    assert!(!view.contains_key(&load::server_key(&next)));
 }
 
 #[test]
--- a/tests/stale_views.rs
+++ b/tests/stale_views.rs
@@ -6,7 +6,7 @@
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use wigeonbarrow::direct::board::Load;
+use wigeonbarrow::direct::load::Load;
 use wigeonbarrow::direct::model::Engine;
 use wigeonbarrow::direct::place;
 use wigeonbarrow::direct::place::Need;
@@ -103,13 +103,13 @@
         let view = servers(now.saturating_sub(AGE), &runs);
         let prompt = draw.random_range(2_000..8_000);
         let need = Need {
-            aim: OBJECTIVE,
+            objective: OBJECTIVE,
             bound_ms: 300,
             draw: draw.random(),
             ..engines::short(prompt)
         };
         let place = place::engine(&engine, &need, &view, false).expect("there is room");
-        let run = taken(&engine, now, prompt, place.first, &runs);
+        let run = taken(&engine, now, prompt, place.writer, &runs);
         asked += 1;
         on_time += u32::from(run.first_at.saturating_sub(now) <= OBJECTIVE);
         runs.push(run);
