--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -376,13 +376,13 @@
                     .suspects
                     .record_death(now, request, &server);
             }
-            gossip::Message::Limits(words) => self.direct.take_words(&words),
+            gossip::Message::Limits(words) => self.direct.receive_limit_reports(&words),
             gossip::Message::Ask(ask) => {
-                let grant = self.direct.grant_asked(&ask);
+                let grant = self.direct.answer_grant_request(&ask);
                 self.send(gossip::Message::Grant(grant), &[from.link]);
             }
-            gossip::Message::Grant(grant) => self.direct.take_grant(grant),
-            gossip::Message::Charged(server) => self.direct.take_charge(server),
+            gossip::Message::Grant(grant) => self.direct.receive_grant(grant),
+            gossip::Message::Charged(server) => self.direct.receive_charge(server),
         }
         if from.version > self.direct.node.documents().version() {
             self.pull(from.link);
