--- a/src/edge/conf.rs
+++ b/src/edge/conf.rs
@@ -185,7 +185,7 @@
 pub async fn follow(node: Arc<node::Node>, sources: impl Fn() -> Vec<SocketAddr>) {
     let mut turn = rand::random_range(0..1_024_usize);
     loop {
-        let store = node.store();
+        let store = node.conf_store();
         let told = store.source.lock().expect("conf lock").take();
         let behind = store.heard() > store.revision();
         let sources = sources();
@@ -233,7 +233,7 @@
     match installed {
         Ok(false) => {}
         Ok(true) => {
-            log_event!(node.log(), Event::ConfigInstalled, "revision" => node.store().revision());
+            log_event!(node.log(), Event::ConfigInstalled, "revision" => node.conf_store().revision());
         }
         Err(findings) => {
             for finding in findings {
--- a/src/edge/control.rs
+++ b/src/edge/control.rs
@@ -235,7 +235,7 @@
             zone: settings.zone.clone(),
             link: settings.link,
             incarnation: self.node.incarnation(),
-            revision: self.node.store().revision(),
+            revision: self.node.conf_store().revision(),
         }
     }
 
--- a/src/edge/control/core.rs
+++ b/src/edge/control/core.rs
@@ -409,7 +409,7 @@
         let Some((revision, files)) = newest else {
             continue;
         };
-        match node.store().install(revision, &files) {
+        match node.conf_store().install(revision, &files) {
             Ok(true) => {
                 log_event!(node.log(), Event::ConfigInstalled, "revision" => revision);
             }
--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -31,16 +31,17 @@
 
 mod account;
 pub mod attempt;
-pub mod checkup;
 pub mod choose;
 pub mod count;
 pub mod course;
+pub mod daemon;
 pub mod dialect;
-pub mod door;
 mod electorate;
+mod eligibility;
+pub mod health_check;
 pub mod heartbeat;
-pub mod host;
-pub mod lines;
+pub mod listener;
+pub mod log_limit;
 pub mod mesh;
 mod permit;
 pub mod pool;
@@ -50,16 +51,15 @@
 pub mod relay;
 pub mod reserve;
 mod span;
-mod standing;
 mod stop;
 pub mod stream;
 mod turn;
 
 /// Time after a start from which the others are known that share a budget.
-const ACQUAINTED: Duration = Duration::from_secs(3);
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// Entries that a process reckons with until then.
-const MANY_ENTRIES: usize = 40;
+const ASSUMED_ENTRIES: usize = 40;
 
 /// Settings of an entry without sidecars.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
     /// Whether it takes callers' requests.
     pub serves: bool,
     /// Time for which memory at a backend server is set aside without renewal.
-    pub hold: Duration,
+    pub reservation_ttl: Duration,
 }
 
 /// What requests share.
@@ -100,7 +100,7 @@
 
 impl State {
     /// Takes note of whether long prompts wait.
-    pub fn observe_pressure(&mut self, now: Duration) {
+    pub fn observe_congestion(&mut self, now: Duration) {
         let waits = self.board.any_waits(now);
         self.pressure.observe(now, waits);
     }
@@ -117,7 +117,7 @@
     state: Mutex<State>,
     pool: pool::Pool,
     roster: Mutex<roster::Roster>,
-    lines: lines::Lines,
+    log_limiter: log_limit::Limiter,
     counts: count::Counts,
     /// Requests in progress.
     progress: progress::Table,
@@ -130,7 +130,7 @@
     letters: Mutex<Vec<(SocketAddr, gossip::News)>>,
     asked: Mutex<permit::Asked>,
     /// A configuration came into force, or a backend server became known.
-    gained: Notify,
+    availability_changed: Notify,
 }
 
 /// Reads a published document: the catalog, or all that is wrong with it.
@@ -162,7 +162,7 @@
             state: Mutex::new(state),
             pool: pool::Pool::default(),
             roster: Mutex::default(),
-            lines: lines::Lines::default(),
+            log_limiter: log_limit::Limiter::default(),
             counts: count::Counts::new(node.metrics()),
             progress: progress::Table::default(),
             loads_changed: Notify::new(),
@@ -170,7 +170,7 @@
             news_came: Notify::new(),
             letters: Mutex::default(),
             asked: Mutex::default(),
-            gained: Notify::new(),
+            availability_changed: Notify::new(),
             settings,
         })
     }
@@ -199,11 +199,11 @@
     pub(crate) async fn await_catalog(&self, limit: Duration) -> Option<Arc<catalog::Catalog>> {
         let waiting = async {
             loop {
-                let gained = self.gained.notified();
+                let availability_changed = self.availability_changed.notified();
                 if let Some(catalog) = self.catalog() {
                     return catalog;
                 }
-                gained.await;
+                availability_changed.await;
             }
         };
         self.unless_ending(limit, waiting).await
@@ -218,7 +218,7 @@
         tokio::select! {
             biased;
             got = time::timeout(limit, waiting) => got.ok(),
-            () = self.node.lifetime().ending() => None,
+            () = self.node.lifetime().stopping() => None,
         }
     }
 
@@ -237,11 +237,11 @@
             // The sender lives as long as this entry.
             let _ = told.wait_for(Option::is_some).await;
             loop {
-                let gained = self.gained.notified();
+                let availability_changed = self.availability_changed.notified();
                 if let Some(catalog) = self.catalog().filter(|one| self.is_confirmed(one)) {
                     return catalog;
                 }
-                gained.await;
+                availability_changed.await;
             }
         };
         self.unless_ending(limit, waiting).await
@@ -251,12 +251,12 @@
     pub(crate) async fn await_server(&self, service: &str, limit: Duration) {
         let waiting = async {
             loop {
-                let gained = self.gained.notified();
+                let availability_changed = self.availability_changed.notified();
                 let now = self.node.now();
                 if self.state().register.ready(now, service).next().is_some() {
                     return;
                 }
-                gained.await;
+                availability_changed.await;
             }
         };
         // Whoever waits finds out by itself what is known then.
@@ -302,7 +302,7 @@
         match read(&text) {
             Ok(catalog) => {
                 self.catalog.store(Some(Arc::new(catalog)));
-                self.gained.notify_waiters();
+                self.availability_changed.notify_waiters();
                 log_event!(self.node.log(), Event::DocumentInForce, "version" => version,
                     "bytes" => text.len());
             }
@@ -315,33 +315,33 @@
     }
 
     /// Tells all other processes at once.
-    pub(crate) fn tell(&self, news: gossip::News) {
+    pub(crate) fn broadcast(&self, news: gossip::News) {
         self.news.lock().expect("news lock").push(news);
         self.news_came.notify_one();
     }
 
     /// Tells one other process at once, and once.
-    pub(crate) fn tell_one(&self, to: SocketAddr, news: gossip::News) {
+    pub(crate) fn send_to(&self, to: SocketAddr, news: gossip::News) {
         self.letters.lock().expect("letters lock").push((to, news));
         self.news_came.notify_one();
     }
 
     /// Processes that take callers' requests, this one among them.
-    pub(crate) fn entries(&self) -> usize {
+    pub(crate) fn entry_count(&self) -> usize {
         let known = 1 + self.roster().all().filter(|one| one.serves).count();
         // A process that has just started again knows few of the others, or none.
-        if !self.settings.first_start && self.node.now() < ACQUAINTED {
-            return known.max(MANY_ENTRIES);
+        if !self.settings.first_start && self.node.now() < DISCOVERY_TIME {
+            return known.max(ASSUMED_ENTRIES);
         }
         known
     }
 
     /// Idle connections kept to each server of a service.
-    pub(crate) fn most_idle(&self, service: &str) -> usize {
+    pub(crate) fn max_idle(&self, service: &str) -> usize {
         let catalog = self.catalog();
         let service = catalog.as_ref().and_then(|one| one.service(service));
         let accepted = service.map_or(0, |one| one.connections);
-        pool::most_idle(accepted, self.entries())
+        pool::max_idle(accepted, self.entry_count())
     }
 
     /// Closes idle connections and forgets what has long gone. To be called each second.
--- a/src/edge/direct/account.rs
+++ b/src/edge/direct/account.rs
@@ -40,7 +40,7 @@
         };
         let lately = state.tally.lately(now, life);
         drop(state);
-        self.tell(gossip::News::Limits(vec![word]));
+        self.broadcast(gossip::News::Limits(vec![word]));
         log_event!(self.node.log(), Event::ServerLimit, "server" => life, "change" => word.change,
             "limit" => shown(word.limit), "direct" => true,
             "age_ms" => now.saturating_sub(sent).as_millis() as u64, "requests" => lately.requests,
@@ -82,14 +82,14 @@
             };
             limited += 1;
             let sent = state.tally.lately(now, &life);
-            if self.lines.allow(Event::ServerSent, now) {
+            if self.log_limiter.allow(Event::ServerSent, now) {
                 log_event!(self.node.log(), Event::ServerSent, "server" => &life,
                     "limit" => limit.per_second(), "requests" => sent.requests,
                     "probes" => sent.probes, "orders" => sent.orders);
             }
         }
         drop(state);
-        self.counts.limited(limited);
+        self.counts.set_limited_servers(limited);
     }
 
     /// Forgets limits of servers that are not known any more.
--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -128,10 +128,13 @@
             if !may_repeat {
                 return std::future::pending().await;
             }
-            lifetime.ending().await;
+            lifetime.stopping().await;
             loop {
                 let first = first.saturating_duration_since(Instant::now());
-                if lifetime.left().is_some_and(|left| left < first + writing) {
+                if lifetime
+                    .remaining()
+                    .is_some_and(|left| left < first + writing)
+                {
                     return;
                 }
                 time::sleep(LIFE_POLL).await;
@@ -163,15 +166,15 @@
             tokio::select! {
                 sent = &mut sending => sent,
                 why = self.give_up(course, &server, wait) => match why {
-                    Some(why) => Err(pool::Lost::Sent(why.to_owned())),
+                    Some(why) => Err(pool::Failure::Sent(why.to_owned())),
                     None => sending.await,
                 },
             }
         };
         let response = match sent {
             Ok(response) => response,
-            Err(pool::Lost::Unsent(_)) => return Err(verdict::End::Unsent.into()),
-            Err(pool::Lost::Sent(why)) => {
+            Err(pool::Failure::Unsent(_)) => return Err(verdict::End::Unsent.into()),
+            Err(pool::Failure::Sent(why)) => {
                 course.past.ran += 1;
                 return Err(lost(&why).into());
             }
@@ -262,7 +265,7 @@
         let answer = self.dialect.answer(&head);
         if answer.not_run || answer.displaced {
             if answer.displaced && answer.at_fault.is_none() {
-                self.displaced(&chosen.server.life);
+                self.server_displaced(&chosen.server.life);
             }
             return Err(verdict::End::NotRun {
                 at_fault: answer.at_fault,
@@ -332,7 +335,7 @@
             }
         };
         let why = tokio::select! {
-            () = self.dead(server, wait.quiet) => SILENT,
+            () = self.until_unresponsive(server, wait.quiet) => SILENT,
             () = hung => HUNG_UP,
         };
         // It has been sent, so it counts as one that may have run.
@@ -345,26 +348,26 @@
     /// Draws conclusions from an attempt that failed.
     fn judge(self: &Arc<Self>, course: &Course, server: &register::Record, end: &verdict::End) {
         let now = self.node.now();
-        self.counts.attempt(&course.service, end_name(end));
-        if self.lines.allow(Event::AttemptEnded, now) {
+        self.counts.attempt_failed(&course.service, end_name(end));
+        if self.log_limiter.allow(Event::AttemptEnded, now) {
             log_event!(self.node.log(), Event::AttemptEnded, "request" => &course.ask.id,
                 "server" => &server.life, "end" => format!("{end:?}"), "ran" => course.past.ran,
                 "tried" => course.past.tried, "left_ms" => course.left().as_millis() as u64);
         }
         if verdict::suspects(&course.route, end) {
-            self.suspect(&server.life);
+            self.pause_server_everywhere(&server.life);
         }
         match end {
-            verdict::End::Unsent => self.missed(&server.life, "no connection"),
+            verdict::End::Unsent => self.pause_server(&server.life, "no connection"),
             verdict::End::Silent => {
-                self.missed(&server.life, "silent");
-                self.died(course.fingerprint, &server.life);
+                self.pause_server(&server.life, "silent");
+                self.server_died(course.fingerprint, &server.life);
             }
-            verdict::End::Broken => self.look_after(course.fingerprint, server.clone()),
+            verdict::End::Broken => self.check_after_disconnect(course.fingerprint, server.clone()),
             verdict::End::Slow | verdict::End::Failed => {
                 self.state().healths.answered(now, &server.life, false);
             }
-            verdict::End::NotRun { at_fault, .. } => self.blame(server, at_fault.as_deref()),
+            verdict::End::NotRun { at_fault, .. } => self.pause_helper(server, at_fault.as_deref()),
             verdict::End::Away
             | verdict::End::Limited(_)
             | verdict::End::Late
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -9,9 +9,9 @@
 
 use super::Direct;
 use super::course::Course;
+use super::eligibility;
 use super::permit::Occasion;
 use super::progress;
-use super::standing;
 use super::turn;
 use crate::direct::board;
 use crate::direct::patience;
@@ -95,7 +95,8 @@
     fn choose(self: &Arc<Self>, course: &Course, reading: Reading) -> Choice {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { records, part } = standing::candidates(&state, now, course);
+        let eligibility::Candidates { records, part } =
+            eligibility::candidates(&state, now, course);
         if records.is_empty() {
             return Choice::Nowhere;
         }
@@ -167,7 +168,7 @@
         };
         let load = servers[place.first].load;
         let limit = limit.map_or(0.0, quota::Rate::per_second);
-        if self.lines.allow(Event::RequestPlaced, now) {
+        if self.log_limiter.allow(Event::RequestPlaced, now) {
             log_event!(self.node.log(), Event::RequestPlaced, "request" => &course.ask.id,
                 "route" => &course.route.name, "config" => course.version,
                 "server" => &records[place.first].life, "prompt" => prompt, "aside" => place.aside.iter().sum::<u64>(),
@@ -195,7 +196,8 @@
     pub(super) fn has_better(&self, course: &Course, server: &register::Life) -> bool {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { mut records, part } = standing::candidates(&state, now, course);
+        let eligibility::Candidates { mut records, part } =
+            eligibility::candidates(&state, now, course);
         records.retain(|one| one.life != *server);
         if records.is_empty() {
             return false;
@@ -209,7 +211,7 @@
             one.is_worth_moving(course.route.objective)
                 && course.ends_in_life(one.first_ms, writing)
         });
-        if !is_better && self.lines.allow(Event::RequestStays, now) {
+        if !is_better && self.log_limiter.allow(Event::RequestStays, now) {
             log_event!(self.node.log(), Event::RequestStays, "request" => &course.ask.id,
                 "server" => server, "others" => servers.len(), "left_ms" => course.left().as_millis() as u64);
         }
@@ -252,7 +254,7 @@
         let now = self.node.now();
         let objective = course.route.objective;
         let mut state = self.state();
-        state.observe_pressure(now);
+        state.observe_congestion(now);
         let servers = state.register.ready(now, &course.service).count();
         let away = state
             .pressure
@@ -261,7 +263,7 @@
         let Some(away) = away else {
             return false;
         };
-        if self.lines.allow(Event::RequestAway, now) {
+        if self.log_limiter.allow(Event::RequestAway, now) {
             log_event!(self.node.log(), Event::RequestAway, "request" => &course.ask.id,
                 "prompt" => need.prompt, "level" => away.level, "servers" => servers,
                 "part_ms" => away.part_ms as u64);
@@ -332,7 +334,7 @@
     async fn choose_only(self: &Arc<Self>, course: &Course) -> Result<Chosen, verdict::End> {
         match self.choose_limited(course, Occasion::Only).await {
             Ok(Some(chosen)) => Ok(chosen),
-            Ok(None) if course.lifetime.is_ending() => Err(verdict::End::Ending),
+            Ok(None) if course.lifetime.is_stopping() => Err(verdict::End::Ending),
             Ok(None) => Err(verdict::End::Unsent),
             Err(come_back) => Err(verdict::End::Limited(come_back)),
         }
--- a/src/edge/direct/count.rs
+++ b/src/edge/direct/count.rs
@@ -110,7 +110,7 @@
     }
 
     /// A heartbeat was refused.
-    pub fn refused_heartbeat(&self) {
+    pub fn heartbeat_rejected(&self) {
         self.refused_heartbeats.inc();
     }
 
@@ -125,28 +125,28 @@
     }
 
     /// Another process answered whether it grants a request.
-    pub fn granted(&self, granted: bool) {
+    pub fn grant_answered(&self, granted: bool) {
         let outcome = if granted { "granted" } else { "denied" };
         self.grants.get_or_create(&kind_of(outcome)).inc();
     }
 
     /// Another process did not answer whether it grants a request.
-    pub fn unanswered(&self) {
+    pub fn grant_unanswered(&self) {
         self.grants.get_or_create(&kind_of("unanswered")).inc();
     }
 
     /// How many servers with a limit got something from this entry lately.
-    pub fn limited(&self, servers: usize) {
+    pub fn set_limited_servers(&self, servers: usize) {
         self.limited.set(i64::try_from(servers).unwrap_or(i64::MAX));
     }
 
     /// A request began.
-    pub fn began(&self) {
+    pub fn request_started(&self) {
         self.running.inc();
     }
 
     /// A request ended.
-    pub fn ended(&self, service: &str, outcome: &str, took: Duration) {
+    pub fn request_ended(&self, service: &str, outcome: &str, took: Duration) {
         self.running.dec();
         let label = Ended {
             service: service.to_owned(),
@@ -158,7 +158,7 @@
     }
 
     /// The first event or the answer came, after what was predicted (0: nothing was).
-    pub fn first(&self, service: &str, took: Duration, predicted_ms: f64) {
+    pub fn first_response(&self, service: &str, took: Duration, predicted_ms: f64) {
         let of = of(service);
         let seconds = took.as_secs_f64();
         self.first.get_or_create(&of).observe(seconds);
@@ -169,7 +169,7 @@
     }
 
     /// An attempt gave no answer to pass on.
-    pub fn attempt(&self, service: &str, end: &str) {
+    pub fn attempt_failed(&self, service: &str, end: &str) {
         let label = Ended {
             service: service.to_owned(),
             outcome: end.to_owned(),
--- a/src/edge/direct/course.rs
+++ b/src/edge/direct/course.rs
@@ -59,7 +59,7 @@
     /// Time that is left of its caller's time and of this process's.
     pub fn left(&self) -> Duration {
         let own = self.own_left();
-        self.lifetime.left().map_or(own, |life| own.min(life))
+        self.lifetime.remaining().map_or(own, |life| own.min(life))
     }
 
     /// Time that is left of its caller's time.
@@ -136,7 +136,7 @@
     /// How long it has waited for its first event, and may.
     pub fn wait(&self) -> patience::Wait {
         let wait = patience::Wait::new(&self.route, self.began.elapsed(), self.own_left());
-        wait.within(self.lifetime.left())
+        wait.within(self.lifetime.remaining())
     }
 
     /// What placing has to know of a request.
--- a/src/edge/direct/host.rs
+++ b/src/edge/direct/daemon.rs
@@ -24,9 +24,9 @@
 use super::Direct;
 use super::Read;
 use super::Settings;
-use super::checkup;
 use super::dialect;
-use super::door;
+use super::health_check;
+use super::listener;
 use super::mesh;
 use super::stop;
 use crate::edge::control;
@@ -67,7 +67,7 @@
 pub type Reload = Box<dyn Fn() -> Result<Setup, Vec<String>> + Send>;
 
 /// What a platform brings.
-pub struct Parts<A> {
+pub struct Platform<A> {
     /// Its language.
     pub dialect: Box<dyn dialect::Dialect>,
     /// Reads its configuration documents.
@@ -79,7 +79,7 @@
 }
 
 /// Runs a process until it is told to stop.
-pub fn run<A: door::Handler>(setup: Setup, parts: Parts<A>) -> anyhow::Result<()> {
+pub fn run<A: listener::Handler>(setup: Setup, platform: Platform<A>) -> anyhow::Result<()> {
     let json = slog_json::Json::default(io::stdout()).fuse();
     let (drain, guard) = slog_async::Async::new(json)
         .chan_size(LOG_RING)
@@ -94,7 +94,7 @@
         .enable_all()
         .build()
         .context("runtime")?;
-    let ended = runtime.block_on(serve(setup, parts, &log, signals));
+    let ended = runtime.block_on(serve(setup, platform, &log, signals));
     if let Err(err) = &ended {
         log_event!(log, Event::RoleFailed, "cause" => format!("{err:#}"));
     }
@@ -104,9 +104,9 @@
     ended
 }
 
-async fn serve<A: door::Handler>(
+async fn serve<A: listener::Handler>(
     setup: Setup,
-    parts: Parts<A>,
+    platform: Platform<A>,
     log: &slog::Logger,
     mut signals: mpsc::Receiver<i32>,
 ) -> anyhow::Result<()> {
@@ -118,7 +118,7 @@
         let role = control::Control::start(&node, control.clone()).context("control role")?;
         node.set_control(role);
     }
-    let direct = Direct::new(&node, setup.direct.clone(), parts.dialect);
+    let direct = Direct::new(&node, setup.direct.clone(), platform.dialect);
     let (doors, closing) = stop::Doors::open();
     // Callers' comes last: a process that fails to start takes no connection that it would cut.
     let admin = bind_any(setup.admin, "operators' listener").await?;
@@ -130,22 +130,22 @@
     if let Some(listener) = front {
         let handler = Arc::clone(&direct);
         let open = doors.callers.clone();
-        tokio::spawn(door::serve(listener, handler, closing.clone(), open));
+        tokio::spawn(listener::serve(listener, handler, closing.clone(), open));
     }
     if let Some(listener) = admin {
-        let handler = (parts.admin)(&direct);
+        let handler = (platform.admin)(&direct);
         let open = doors.operators.clone();
-        tokio::spawn(door::serve(listener, handler, closing, open));
+        tokio::spawn(listener::serve(listener, handler, closing, open));
     }
     let look = Arc::new(Look {
         direct: Arc::clone(&direct),
         leaving: AtomicBool::new(false),
     });
-    let (_always, never) = watch::channel(door::Stage::Open);
+    let (_always, never) = watch::channel(listener::Stage::Open);
     for listener in looks {
         let handler = Arc::clone(&look);
-        let open = door::Open::default();
-        tokio::spawn(door::serve(listener, handler, never.clone(), open));
+        let open = listener::Connections::default();
+        tokio::spawn(listener::serve(listener, handler, never.clone(), open));
     }
     let key = setup.node.process_key.clone();
     let handler = Arc::clone(&node);
@@ -154,16 +154,16 @@
         log_event!(handler.log(), Event::RoleFailed, "cause" => err.to_string());
     });
     tokio::spawn(mesh::run(Arc::clone(&direct), datagrams));
-    tokio::spawn(Arc::clone(&direct).follow_documents(parts.read));
+    tokio::spawn(Arc::clone(&direct).follow_documents(platform.read));
     tokio::spawn(Arc::clone(&direct).confirm());
     if setup.direct.serves {
-        tokio::spawn(checkup::run(Arc::clone(&direct)));
+        tokio::spawn(health_check::run(Arc::clone(&direct)));
     }
     log_event!(log, Event::Started, "link" => link, "front" => setup.front.map(|a| a.to_string()),
         "votes" => setup.direct.votes, "first_start" => setup.direct.first_start,
         "seeds" => format!("{:?}", setup.node.seeds));
     let grace = setup.grace;
-    let mut settings = Reloaded::new(setup, parts.reload);
+    let mut settings = Reloaded::new(setup, platform.reload);
     let mut sweep = time::interval(SWEEP);
     sweep.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
@@ -244,7 +244,7 @@
 }
 
 fn tell_left_out(direct: &Direct) {
-    for (number, count) in direct.lines.left_out() {
+    for (number, count) in direct.log_limiter.take_suppressed() {
         log_event!(direct.node.log(), Event::LinesLeftOut, "of" => number, "count" => count);
     }
 }
@@ -255,21 +255,21 @@
     leaving: AtomicBool,
 }
 
-impl door::Handler for Look {
+impl listener::Handler for Look {
     async fn handle(
         self: &Arc<Self>,
         request: http::Request<body::Incoming>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         if request.uri().path().ends_with("/metrics") {
             let text = self.direct.node.metrics().encode();
-            let mut response = http::Response::new(door::whole(text));
+            let mut response = http::Response::new(listener::full(text));
             let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
             let kind = header::HeaderValue::from_static(kind);
             response.headers_mut().insert(header::CONTENT_TYPE, kind);
             return response;
         }
         let ready = !self.leaving.load(Ordering::Acquire) && self.direct.ready();
-        let mut response = http::Response::new(door::whole(""));
+        let mut response = http::Response::new(listener::full(""));
         if !ready {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
--- a/src/edge/direct/electorate.rs
+++ b/src/edge/direct/electorate.rs
@@ -14,7 +14,7 @@
 
 impl Direct {
     /// Tells the control role, and whoever asks it, who may vote and who leads.
-    pub(super) fn tell_control(&self, now: Duration) {
+    pub(super) fn update_control(&self, now: Duration) {
         let node = &self.node;
         let voters = self.roster().voters();
         if let Some(control) = node.control() {
--- a/src/edge/direct/checkup.rs
+++ b/src/edge/direct/health_check.rs
@@ -65,25 +65,25 @@
         None => SILENT,
     };
     if pace == SILENT {
-        direct.missed(&server.life, "does not report");
+        direct.pause_server(&server.life, "does not report");
     }
     let same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
     if !same {
         let key = board::server_key(&server.life);
-        direct.tell(gossip::News::Paces(vec![(key, pace)]));
+        direct.broadcast(gossip::News::Paces(vec![(key, pace)]));
     }
 }
 
 impl Direct {
     /// Sends nothing new to a server for a while, and tells the others to do so.
-    pub(super) fn suspect(&self, server: &register::Life) {
-        self.missed(server, "a call broke off that may not be repeated");
+    pub(super) fn pause_server_everywhere(&self, server: &register::Life) {
+        self.pause_server(server, "a call broke off that may not be repeated");
         let key = board::server_key(server);
-        self.tell(gossip::News::Paces(vec![(key, SILENT)]));
+        self.broadcast(gossip::News::Paces(vec![(key, SILENT)]));
     }
 
     /// Takes what another entry found out about servers.
-    pub(super) fn take_paces(&self, paces: &[(u64, u16)]) {
+    pub(super) fn apply_paces(&self, paces: &[(u64, u16)]) {
         let told: Vec<(register::Life, u16)> = {
             let state = self.state();
             let life = |key: u64| state.register.life(key).cloned();
@@ -93,7 +93,7 @@
         };
         for (life, pace) in told {
             if pace == SILENT {
-                self.missed(&life, "does not report to another entry");
+                self.pause_server(&life, "does not report to another entry");
             } else {
                 self.state().healths.paced(&life, f64::from(pace) / 100.0);
             }
--- a/src/edge/direct/heartbeat.rs
+++ b/src/edge/direct/heartbeat.rs
@@ -10,37 +10,37 @@
 impl Direct {
     /// Takes what a backend server says of itself, heard here. It is passed on at once if it is
     /// news. One that names no server to use is refused, with the reason.
-    pub fn heard(&self, record: register::Record) -> Result<(), register::Refused> {
-        let taken = self.take_record(record.clone(), true)?;
+    pub fn accept_heartbeat(&self, record: register::Record) -> Result<(), register::Refused> {
+        let taken = self.apply_record(record.clone(), true)?;
         if matches!(taken, register::Taken::New | register::Taken::Changed) {
-            self.tell(gossip::News::Records(vec![record]));
+            self.broadcast(gossip::News::Records(vec![record]));
         }
         Ok(())
     }
 
     /// A heartbeat was refused: it cannot be read, or names no server to use.
-    pub fn refused(&self, id: &str, why: &str) {
-        self.counts.refused_heartbeat();
+    pub fn heartbeat_rejected(&self, id: &str, why: &str) {
+        self.counts.heartbeat_rejected();
         let now = self.node.now();
-        if self.lines.allow(Event::HeartbeatRefused, now) {
+        if self.log_limiter.allow(Event::HeartbeatRefused, now) {
             log_event!(self.node.log(), Event::HeartbeatRefused, "server" => id, "cause" => why);
         }
     }
 
     /// A backend server goes.
-    pub fn left(&self, life: register::Life) {
+    pub fn server_left(&self, life: register::Life) {
         let now = self.node.now();
         let record = self.state().register.leave(now, life);
         let Some(record) = record else {
             return;
         };
         self.log_change(&record, true);
-        self.pool.forget(&record.life);
-        self.tell(gossip::News::Records(vec![record]));
+        self.pool.close_idle(&record.life);
+        self.broadcast(gossip::News::Records(vec![record]));
     }
 
     /// Takes a record, heard here (`direct`) or passed on.
-    pub(crate) fn take_record(
+    pub(crate) fn apply_record(
         &self,
         record: register::Record,
         direct: bool,
@@ -54,14 +54,14 @@
         drop(state);
         match taken {
             register::Taken::New => {
-                self.gained.notify_waiters();
+                self.availability_changed.notify_waiters();
                 log_event!(self.node.log(), Event::ServerKnown, "server" => &record.life,
                     "service" => &record.service, "addr" => record.addr, "zone" => &record.zone,
                     "seq" => record.seq, "direct" => direct);
             }
             register::Taken::Changed => {
                 self.log_change(&record, direct);
-                self.pool.forget(&record.life);
+                self.pool.close_idle(&record.life);
             }
             register::Taken::Same | register::Taken::Stale => {}
         }
@@ -74,29 +74,29 @@
     }
 
     /// A backend server did not answer, or died.
-    pub(crate) fn missed(&self, life: &register::Life, why: &str) {
+    pub(crate) fn pause_server(&self, life: &register::Life, why: &str) {
         let now = self.node.now();
         let until = self.state().healths.missed(now, life);
-        self.pool.forget(life);
-        if self.lines.allow(Event::ServerOut, now) {
+        self.pool.close_idle(life);
+        if self.log_limiter.allow(Event::ServerOut, now) {
             log_event!(self.node.log(), Event::ServerOut, "server" => life, "cause" => why,
                 "pause_ms" => until.saturating_sub(now).as_millis() as u64);
         }
     }
 
     /// Another life answered where `life` was expected.
-    pub(crate) fn displaced(&self, life: &register::Life) {
+    pub(crate) fn server_displaced(&self, life: &register::Life) {
         self.state().register.displaced(life);
-        self.pool.forget(life);
+        self.pool.close_idle(life);
         log_event!(self.node.log(), Event::ServerDisplaced, "server" => life);
     }
 
     /// A server died while it ran a request.
-    pub(crate) fn died(&self, request: id::Fingerprint, server: &register::Life) {
+    pub(crate) fn server_died(&self, request: id::Fingerprint, server: &register::Life) {
         let now = self.node.now();
         if self.state().suspects.died(now, request, server) {
-            self.tell(gossip::News::Died(request, server.clone()));
-            if self.lines.allow(Event::RequestSuspect, now) {
+            self.broadcast(gossip::News::Died(request, server.clone()));
+            if self.log_limiter.allow(Event::RequestSuspect, now) {
                 log_event!(self.node.log(), Event::RequestSuspect, "server" => &server,
                     "fingerprint" => request.to_string());
             }
--- a/src/edge/direct/door.rs
+++ b/src/edge/direct/listener.rs
@@ -28,20 +28,20 @@
 /// Pause after a connection could not be accepted, as when all descriptors are used.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Pieces of a body that is made while it is sent.
-pub type Pieces = Pin<Box<dyn futures_core::Stream<Item = io::Result<body::Frame<Bytes>>> + Send>>;
+/// Chunks of a body that is made while it is sent.
+pub type Chunks = Pin<Box<dyn futures_core::Stream<Item = io::Result<body::Frame<Bytes>>> + Send>>;
 
 /// Body of an answer.
-pub type Body = Either<Full<Bytes>, StreamBody<Pieces>>;
+pub type Body = Either<Full<Bytes>, StreamBody<Chunks>>;
 
 /// A whole body.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Either::Left(Full::new(bytes.into()))
 }
 
 /// A body that is made while it is sent.
-pub fn pieces(pieces: Pieces) -> Body {
-    Either::Right(StreamBody::new(pieces))
+pub fn streamed(chunks: Chunks) -> Body {
+    Either::Right(StreamBody::new(chunks))
 }
 
 /// What a listener does with requests.
@@ -63,23 +63,23 @@
     #[default]
     Open,
     /// It takes connections, and ends each with its next answer.
-    Leaving,
+    Draining,
     /// It takes none, and ends each with its answer, idle ones at once.
     Closing,
 }
 
 /// Counts open connections.
 #[derive(Clone, Default)]
-pub struct Open(Arc<AtomicUsize>);
+pub struct Connections(Arc<AtomicUsize>);
 
-impl Open {
+impl Connections {
     /// How many there are.
     pub fn count(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 }
 
-struct Counted(Open);
+struct Counted(Connections);
 
 impl Drop for Counted {
     fn drop(&mut self) {
@@ -93,7 +93,7 @@
     listener: TcpListener,
     handler: Arc<H>,
     stage: watch::Receiver<Stage>,
-    open: Open,
+    open: Connections,
 ) {
     let mut until = stage.clone();
     loop {
--- a/src/edge/direct/lines.rs
+++ b/src/edge/direct/log_limit.rs
@@ -16,16 +16,16 @@
 struct Count {
     began: Duration,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Counts lines by event.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct Limiter {
     counts: Mutex<HashMap<u32, Count>>,
 }
 
-impl Lines {
+impl Limiter {
     /// Whether one more line of this event may be written.
     pub fn allow(&self, event: Event, now: Duration) -> bool {
         let mut counts = self.counts.lock().expect("lines lock");
@@ -35,7 +35,7 @@
             count.lines = 0;
         }
         if count.lines >= MOST {
-            count.left_out += 1;
+            count.suppressed += 1;
             return false;
         }
         count.lines += 1;
@@ -43,10 +43,10 @@
     }
 
     /// Lines left out since the last call, by the number of their event.
-    pub fn left_out(&self) -> Vec<(u32, u64)> {
+    pub fn take_suppressed(&self) -> Vec<(u32, u64)> {
         let mut counts = self.counts.lock().expect("lines lock");
-        let counts = counts.iter_mut().filter(|(_, count)| count.left_out > 0);
-        let taken = counts.map(|(number, count)| (*number, std::mem::take(&mut count.left_out)));
+        let counts = counts.iter_mut().filter(|(_, count)| count.suppressed > 0);
+        let taken = counts.map(|(number, count)| (*number, std::mem::take(&mut count.suppressed)));
         taken.collect()
     }
 }
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -253,7 +253,7 @@
 
     fn greet(&mut self) {
         let now = self.direct.node.now();
-        self.direct.state().observe_pressure(now);
+        self.direct.state().observe_congestion(now);
         self.round += 1;
         self.lose_silent(now);
         let settings = self.direct.node.settings();
@@ -275,7 +275,7 @@
         }
         self.loads_due = true;
         self.loads_whole = true;
-        self.direct.tell_control(now);
+        self.direct.update_control(now);
     }
 
     /// Greets the seeds that were not heard yet.
@@ -350,7 +350,7 @@
             gossip::News::Records(records) => {
                 for record in records {
                     // Whoever heard it has logged and counted what is wrong with it.
-                    let _ = self.direct.take_record(record, false);
+                    let _ = self.direct.apply_record(record, false);
                 }
             }
             gossip::News::Loads {
@@ -366,7 +366,7 @@
                 let board = &mut self.direct.state().board;
                 board.told(now, from.link, from.life, datagram.seq, told);
             }
-            gossip::News::Paces(paces) => self.direct.take_paces(&paces),
+            gossip::News::Paces(paces) => self.direct.apply_paces(&paces),
             gossip::News::Died(request, server) => {
                 self.direct.state().suspects.died(now, request, &server);
             }
--- a/src/edge/direct/permit.rs
+++ b/src/edge/direct/permit.rs
@@ -13,7 +13,7 @@
 use super::State;
 use super::choose::Chosen;
 use super::course::Course;
-use super::standing;
+use super::eligibility;
 use crate::direct::board;
 use crate::direct::gossip;
 use crate::direct::place;
@@ -117,7 +117,7 @@
         let is_grantor = self.grantors(&course.service).first() == Some(&self.me());
         let mut state = self.state();
         let other = occasion != Occasion::Only;
-        let mut records = standing::limited(&state, now, course, other);
+        let mut records = eligibility::limited(&state, now, course, other);
         if occasion == Occasion::Spare {
             // Others may ask as well once nobody knows whether the limit goes on.
             records.retain(|one| {
@@ -169,7 +169,7 @@
                 return self.grant(service, servers, most);
             }
             if let Some(grant) = self.ask(grantor, service, servers, most).await {
-                self.counts.granted(grant.server.is_some());
+                self.counts.grant_answered(grant.server.is_some());
                 return match grant.server {
                     Some(server) => Ok(quota::Slot {
                         server,
@@ -178,7 +178,7 @@
                     None => Err(grant.wait),
                 };
             }
-            self.counts.unanswered();
+            self.counts.grant_unanswered();
             let until = self.node.now() + PASSED_OVER;
             self.asked().passed_over.insert(grantor, until);
         }
@@ -211,7 +211,7 @@
             words,
             most,
         };
-        self.tell_one(grantor, gossip::News::Ask(ask));
+        self.send_to(grantor, gossip::News::Ask(ask));
         let granted = time::timeout(ASK_TIMEOUT, rx).await;
         self.asked().pending.remove(&number);
         granted.ok()?.ok()
@@ -266,7 +266,7 @@
         };
         match self.grantors(&service).first() {
             Some(grantor) if *grantor != self.me() => {
-                self.tell_one(*grantor, gossip::News::Charged(server));
+                self.send_to(*grantor, gossip::News::Charged(server));
             }
             _ => self.take_charge(server),
         }
@@ -314,7 +314,7 @@
             self.asked().denied.insert(course.service.clone(), until);
             return;
         }
-        if self.lines.allow(Event::RequestLimited, now) {
+        if self.log_limiter.allow(Event::RequestLimited, now) {
             log_event!(self.node.log(), Event::RequestLimited, "request" => &course.ask.id,
                 "servers" => servers, "come_back_ms" => come_back.as_millis() as u64,
                 "left_ms" => course.left().as_millis() as u64);
--- a/src/edge/direct/pool.rs
+++ b/src/edge/direct/pool.rs
@@ -37,7 +37,7 @@
 
 /// Idle connections that each of `entries` keeps to a server that accepts so many from all callers
 /// together; 0: not known.
-pub fn most_idle(accepted: u32, entries: usize) -> usize {
+pub fn max_idle(accepted: u32, entries: usize) -> usize {
     if accepted == 0 {
         return MOST_IDLE;
     }
@@ -61,7 +61,7 @@
 
 /// Why a request got no answer.
 #[derive(Debug)]
-pub enum Lost {
+pub enum Failure {
     /// Nothing of it was sent.
     Unsent(String),
     /// It was sent, in part or whole.
@@ -94,9 +94,9 @@
     pub async fn send(
         &mut self,
         request: http::Request<Full<Bytes>>,
-    ) -> Result<http::Response<body::Incoming>, Lost> {
+    ) -> Result<http::Response<body::Incoming>, Failure> {
         if let Err(err) = self.sender.ready().await {
-            return Err(Lost::Unsent(err.to_string()));
+            return Err(Failure::Unsent(err.to_string()));
         }
         self.used = true;
         match self.sender.try_send_request(request).await {
@@ -105,9 +105,9 @@
                 let unsent = err.take_message().is_some();
                 let why = err.into_error().to_string();
                 Err(if unsent {
-                    Lost::Unsent(why)
+                    Failure::Unsent(why)
                 } else {
-                    Lost::Sent(why)
+                    Failure::Sent(why)
                 })
             }
         }
@@ -152,7 +152,7 @@
     }
 
     /// Keeps a connection that has carried a whole answer. `allowed`: time that its server
-    /// leaves it idle. `most`: see [`most_idle`].
+    /// leaves it idle. `most`: see [`max_idle`].
     pub fn keep(&self, life: &register::Life, conn: Conn, allowed: Option<Duration>, most: usize) {
         let keep = allowed.map_or(KEEP, |allowed| allowed.mul_f64(KEEP_PART).min(KEEP));
         let until = Instant::now() + keep;
@@ -174,7 +174,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, life: &register::Life) {
+    pub fn close_idle(&self, life: &register::Life) {
         self.idle.lock().expect("pool lock").remove(life);
     }
 }
--- a/src/edge/direct/probe.rs
+++ b/src/edge/direct/probe.rs
@@ -25,7 +25,7 @@
 
 impl Direct {
     /// Another server than the one asked was at fault: it could not help.
-    pub(super) fn blame(&self, server: &register::Record, at_fault: Option<&str>) {
+    pub(super) fn pause_helper(&self, server: &register::Record, at_fault: Option<&str>) {
         let Some(addr) = at_fault.and_then(|one| one.parse().ok()) else {
             return;
         };
@@ -34,12 +34,12 @@
         }
         let helper = self.state().register.at(addr).map(|one| one.life.clone());
         if let Some(helper) = helper {
-            self.missed(&helper, "could not help");
+            self.pause_server(&helper, "could not help");
         }
     }
 
     /// After a connection broke: asks whether the server is still there.
-    pub(super) fn look_after(
+    pub(super) fn check_after_disconnect(
         self: &Arc<Self>,
         fingerprint: id::Fingerprint,
         server: register::Record,
@@ -52,8 +52,8 @@
         let direct = Arc::clone(self);
         tokio::spawn(async move {
             if direct.probe(&server).await.is_none() {
-                direct.missed(&server.life, "connection broken, and no answer since");
-                direct.died(fingerprint, &server.life);
+                direct.pause_server(&server.life, "connection broken, and no answer since");
+                direct.server_died(fingerprint, &server.life);
             } else {
                 let now = direct.node.now();
                 direct.state().healths.answered(now, &server.life, false);
@@ -62,7 +62,7 @@
     }
 
     /// Ends when the server answers no question about itself.
-    pub(super) async fn dead(&self, server: &register::Record, quiet: Duration) {
+    pub(super) async fn until_unresponsive(&self, server: &register::Record, quiet: Duration) {
         time::sleep(quiet).await;
         // A server that names a limit is not asked: questions count against it.
         loop {
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -20,7 +20,7 @@
 use super::attempt;
 use super::course::Course;
 use super::dialect;
-use super::door;
+use super::listener;
 use super::progress;
 use super::span;
 use super::stream;
@@ -81,11 +81,11 @@
     }
 }
 
-impl door::Handler for Direct {
+impl listener::Handler for Direct {
     async fn handle(
         self: &Arc<Self>,
         request: http::Request<body::Incoming>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let (head, body) = request.into_parts();
         let ask = self.dialect.ask(&head);
         let mut span = span::Span::new(self, &ask.id);
@@ -93,14 +93,14 @@
         let admitted = tokio::select! {
             biased;
             admitted = self.admit(ask, head, body, span.progress()) => admitted,
-            () = lifetime.over() => Err(Denied::new(StatusCode::SERVICE_UNAVAILABLE, ENDS)),
+            () = lifetime.expired() => Err(Denied::new(StatusCode::SERVICE_UNAVAILABLE, ENDS)),
         };
         let course = match admitted {
             Ok(course) => course,
             Err(denied) => {
                 span.end(denied.status, denied.why);
                 // Other entries have what this one waited for.
-                let is_ending = lifetime.is_ending();
+                let is_ending = lifetime.is_stopping();
                 let come_back = denied
                     .come_back
                     .map(|one| if is_ending { Duration::ZERO } else { one });
@@ -198,7 +198,7 @@
         self: &Arc<Self>,
         mut course: Course,
         mut span: span::Span,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let now = self.node.now();
         self.state().budget.request(now, &course.service);
         let end = time::Instant::from_std(course.end);
@@ -207,7 +207,7 @@
         let got = tokio::select! {
             biased;
             got = time::timeout_at(end, self.pursue(&mut course, None)) => got,
-            () = lifetime.over() => Ok(Err(course.end_here().into())),
+            () = lifetime.expired() => Ok(Err(course.end_here().into())),
         };
         let missed = match got {
             Ok(Ok(attempt::Got::Whole(whole))) => {
@@ -270,7 +270,7 @@
     /// Spends a part of the budget of requests that are sent again.
     pub(super) fn spend(&self, service: &str) -> bool {
         let now = self.node.now();
-        let entries = self.entries();
+        let entries = self.entry_count();
         self.state().budget.spend(now, service, entries)
     }
 
@@ -295,7 +295,7 @@
         head: &response::Parts,
         first: stream::Piece,
         mut reader: Box<stream::Reader>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let status = head.status;
         let headers = answer_headers(head);
         let direct = Arc::clone(self);
@@ -346,7 +346,7 @@
                 }
             }
         };
-        let mut response = http::Response::new(door::pieces(Box::pin(pieces)));
+        let mut response = http::Response::new(listener::streamed(Box::pin(pieces)));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
@@ -380,7 +380,7 @@
             resumed = time::timeout_at(end, self.resume(course, reader, lost, after)) => {
                 resumed.ok().flatten()
             }
-            () = lifetime.over() => None,
+            () = lifetime.expired() => None,
         }
     }
 
@@ -393,10 +393,10 @@
         after: Option<&str>,
     ) -> Option<(stream::Piece, Box<stream::Reader>)> {
         match lost {
-            verdict::End::Silent => self.missed(&reader.server.life, "silent midway"),
+            verdict::End::Silent => self.pause_server(&reader.server.life, "silent midway"),
             verdict::End::Late => return None,
             verdict::End::Slow => {}
-            _ => self.look_after(course.fingerprint, reader.server.clone()),
+            _ => self.check_after_disconnect(course.fingerprint, reader.server.clone()),
         }
         course.tried.push(reader.server.life.clone());
         let after = after?;
@@ -463,16 +463,16 @@
     headers
 }
 
-fn pass_on(whole: attempt::Whole) -> http::Response<door::Body> {
+fn pass_on(whole: attempt::Whole) -> http::Response<listener::Body> {
     let headers = answer_headers(&whole.head);
-    let mut response = http::Response::new(door::whole(whole.body));
+    let mut response = http::Response::new(listener::full(whole.body));
     *response.status_mut() = whole.head.status;
     *response.headers_mut() = headers;
     response
 }
 
-fn refuse(status: StatusCode, come_back: Option<Duration>) -> http::Response<door::Body> {
-    let mut response = http::Response::new(door::whole(Bytes::new()));
+fn refuse(status: StatusCode, come_back: Option<Duration>) -> http::Response<listener::Body> {
+    let mut response = http::Response::new(listener::full(Bytes::new()));
     *response.status_mut() = status;
     if let Some(after) = come_back {
         let seconds = format!("{:.3}", after.as_secs_f64());
--- a/src/edge/direct/reserve.rs
+++ b/src/edge/direct/reserve.rs
@@ -139,7 +139,7 @@
 impl Direct {
     /// Time for which memory is held without renewal.
     fn hold(&self) -> Duration {
-        self.settings.hold
+        self.settings.reservation_ttl
     }
 
     async fn set_aside(&self, held: &Held) -> bool {
--- a/src/edge/direct/span.rs
+++ b/src/edge/direct/span.rs
@@ -31,7 +31,7 @@
 impl Span {
     /// Begins with a request that has come.
     pub(super) fn new(direct: &Arc<Direct>, id: &str) -> Self {
-        direct.counts.began();
+        direct.counts.request_started();
         let (number, progress) = direct.progress.insert(id);
         Self {
             direct: Arc::clone(direct),
@@ -61,7 +61,9 @@
     pub(super) fn first(&mut self, predicted_ms: f64) {
         let took = self.began.elapsed();
         self.first = Some(took);
-        self.direct.counts.first(&self.service, took, predicted_ms);
+        self.direct
+            .counts
+            .first_response(&self.service, took, predicted_ms);
     }
 
     /// Events were passed on.
@@ -80,7 +82,7 @@
         self.ended = true;
         self.direct
             .counts
-            .ended(&self.service, status.as_str(), took);
+            .request_ended(&self.service, status.as_str(), took);
         let event = if status.is_success() {
             Event::RequestEnded
         } else {
@@ -93,13 +95,13 @@
     pub(super) fn cut(&mut self, lost: &verdict::End) {
         self.ended = true;
         let took = self.began.elapsed();
-        self.direct.counts.ended(&self.service, "cut", took);
+        self.direct.counts.request_ended(&self.service, "cut", took);
         self.log(Event::StreamCut, 0, &format!("{lost:?}"));
     }
 
     fn log(&self, event: Event, status: u16, cause: &str) {
         let now = self.direct.node.now();
-        if !self.direct.lines.allow(event, now) {
+        if !self.direct.log_limiter.allow(event, now) {
             return;
         }
         let first = self.first.map_or(0, |one| one.as_millis() as u64);
@@ -115,7 +117,9 @@
         self.direct.progress.remove(self.number);
         if !self.ended && !self.progress.mark().is_cut {
             let took = self.began.elapsed();
-            self.direct.counts.ended(&self.service, "caller left", took);
+            self.direct
+                .counts
+                .request_ended(&self.service, "caller left", took);
             self.log(Event::CallerLeft, 0, "caller left");
         }
     }
--- a/src/edge/direct/stop.rs
+++ b/src/edge/direct/stop.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use super::Direct;
-use super::door;
+use super::listener;
 use super::progress;
 use crate::edge::event::Event;
 use crate::log_event;
@@ -43,21 +43,21 @@
 
 /// The listeners that a stop closes.
 pub(super) struct Doors {
-    stage: watch::Sender<door::Stage>,
+    stage: watch::Sender<listener::Stage>,
     /// Connections of callers.
-    pub(super) callers: door::Open,
+    pub(super) callers: listener::Connections,
     /// Connections of operators and backend servers.
-    pub(super) operators: door::Open,
+    pub(super) operators: listener::Connections,
 }
 
 impl Doors {
     /// Open ones, and what tells their listeners to close.
-    pub(super) fn open() -> (Self, watch::Receiver<door::Stage>) {
-        let (stage, closing) = watch::channel(door::Stage::Open);
+    pub(super) fn open() -> (Self, watch::Receiver<listener::Stage>) {
+        let (stage, closing) = watch::channel(listener::Stage::Open);
         let doors = Self {
             stage,
-            callers: door::Open::default(),
-            operators: door::Open::default(),
+            callers: listener::Connections::default(),
+            operators: listener::Connections::default(),
         };
         (doors, closing)
     }
@@ -65,12 +65,12 @@
     /// Ends each connection with its next answer.
     fn leave(&self) {
         // Its receivers are the listeners, which end with the process.
-        let _ = self.stage.send(door::Stage::Leaving);
+        let _ = self.stage.send(listener::Stage::Draining);
     }
 
     /// Takes no connections any more, and waits until those that are open have ended.
     async fn close(&self) {
-        let _ = self.stage.send(door::Stage::Closing);
+        let _ = self.stage.send(listener::Stage::Closing);
         while self.callers.count() + self.operators.count() > 0 {
             time::sleep(POLL).await;
         }
--- a/src/edge/direct/stream.rs
+++ b/src/edge/direct/stream.rs
@@ -115,7 +115,7 @@
                 return Next::Piece(piece);
             }
             let frame = {
-                let dead = self.direct.dead(&self.server, quiet);
+                let dead = self.direct.until_unresponsive(&self.server, quiet);
                 tokio::select! {
                     frame = self.body.frame() => frame,
                     () = dead, if !stays => {
@@ -163,7 +163,7 @@
         if let Some(conn) = self.conn.take()
             && !self.closes
         {
-            let most = self.direct.most_idle(&self.server.service);
+            let most = self.direct.max_idle(&self.server.service);
             let life = &self.server.life;
             self.direct.pool.keep(life, conn, self.keep, most);
         }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -64,7 +64,7 @@
             return;
         }
         self.direct.loads_changed.notify_one();
-        if self.direct.lines.allow(Event::RequestWaits, now) {
+        if self.direct.log_limiter.allow(Event::RequestWaits, now) {
             log_event!(self.direct.node.log(), Event::RequestWaits, "request" => &course.ask.id,
                 "prompt" => course.need().prompt, "rank" => self.rank, "ahead" => ahead,
                 "left_ms" => course.left().as_millis() as u64);
--- a/src/edge/document.rs
+++ b/src/edge/document.rs
@@ -67,7 +67,7 @@
     }
 
     /// The document, if it is newer than `have`.
-    pub fn newer(&self, have: u64) -> Option<agree::Document> {
+    pub fn newer_than(&self, have: u64) -> Option<agree::Document> {
         let newest = self.newest.borrow();
         newest.clone().filter(|one| one.version > have)
     }
--- a/src/edge/entry/alarm.rs
+++ b/src/edge/entry/alarm.rs
@@ -58,7 +58,7 @@
 /// Tells the other entries of the suspects known here.
 async fn share(node: &Arc<node::Node>) {
     let view = node.view();
-    node.suspect(&view.suspects);
+    node.add_suspects(&view.suspects);
     let own = node.settings().link;
     let entries = view
         .peers
--- a/src/edge/entry/drive.rs
+++ b/src/edge/entry/drive.rs
@@ -136,7 +136,7 @@
         let mut gone = false;
         let mut timer = pin!(time::sleep(Duration::ZERO));
         let lifetime = self.node.lifetime().clone();
-        let mut over = pin!(lifetime.over());
+        let mut over = pin!(lifetime.expired());
         loop {
             while let Some(action) = self.actions.pop_front() {
                 self.act(action).await;
--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -131,7 +131,7 @@
     if !front.ready.load(Ordering::Acquire) || node.draining() {
         return (Status::ServiceUnavailable, "draining\n");
     }
-    if node.entry().is_some() && node.store().revision() == 0 {
+    if node.entry().is_some() && node.conf_store().revision() == 0 {
         return (Status::ServiceUnavailable, "no configuration yet\n");
     }
     let now = node.now();
--- a/src/edge/http/admin.rs
+++ b/src/edge/http/admin.rs
@@ -76,8 +76,8 @@
         roles: roles.iter().filter(|r| r.1).map(|r| r.0).collect(),
         incarnation: node.incarnation().0,
         uptime_seconds: node.now().as_secs(),
-        revision: node.store().revision(),
-        heard: node.store().heard(),
+        revision: node.conf_store().revision(),
+        heard: node.conf_store().heard(),
         draining: node.draining(),
         in_progress: node.in_progress(),
         view: &node.view(),
@@ -144,7 +144,7 @@
 #[rocket::get("/config")]
 fn config(front: &rocket::State<Arc<Front>>, headers: auth::Headers<'_>) -> Json {
     front.auth.operator(&headers)?;
-    let store = front.node().store();
+    let store = front.node().conf_store();
     json(&Folder {
         revision: store.revision(),
         files: store.files(),
--- a/src/edge/lifetime.rs
+++ b/src/edge/lifetime.rs
@@ -36,25 +36,25 @@
     }
 
     /// Whether a stop has been asked for.
-    pub fn is_ending(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.end.borrow().is_some()
     }
 
     /// Time that is left for answers. `None`: no stop has been asked for.
-    pub fn left(&self) -> Option<Duration> {
+    pub fn remaining(&self) -> Option<Duration> {
         let end = *self.end.borrow();
         end.map(|end| end.saturating_duration_since(Instant::now()))
     }
 
     /// Waits until a stop is asked for.
-    pub async fn ending(&self) {
+    pub async fn stopping(&self) {
         let mut end = self.end.subscribe();
         // The sender lives as long as this.
         let _ = end.wait_for(Option::is_some).await;
     }
 
     /// Waits until the time for answers is over.
-    pub async fn over(&self) {
+    pub async fn expired(&self) {
         let mut changes = self.end.subscribe();
         loop {
             let end = *changes.borrow_and_update();
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -146,7 +146,7 @@
     }
 
     /// The store of configurations.
-    pub fn store(&self) -> &conf::Store {
+    pub fn conf_store(&self) -> &conf::Store {
         &self.conf
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Takes suspects of which the quorum just learned; a view made before that may still come.
-    pub fn suspect(&self, suspects: &[agree::Suspect]) {
+    pub fn add_suspects(&self, suspects: &[agree::Suspect]) {
         let until = self.now() + TOLD_HOLDS;
         let told = suspects.iter().map(|suspect| (suspect.clone(), until));
         self.told.lock().expect("told lock").extend(told);
@@ -221,7 +221,7 @@
     }
 
     /// Forgets the link to a process that has gone.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn remove_link(&self, addr: SocketAddr) {
         self.links.write().expect("links lock").remove(&addr);
     }
 
@@ -334,9 +334,9 @@
                 Some(entry) => entry.announce(*announce).await,
                 None => rpc::Answer::Unavailable,
             },
-            rpc::Ask::Document { have } => rpc::Answer::Document(self.documents.newer(have)),
+            rpc::Ask::Document { have } => rpc::Answer::Document(self.documents.newer_than(have)),
             rpc::Ask::Suspects(suspects) => {
-                self.suspect(&suspects);
+                self.add_suspects(&suspects);
                 rpc::Answer::Ack
             }
             rpc::Ask::Order(order) => match self.sidecar() {
--- a/tests/document_store.rs
+++ b/tests/document_store.rs
@@ -15,8 +15,8 @@
     let taken = [3, 7, 5, 7, 3, 9].map(|version| store.install(packed(version)));
     assert_eq!(taken, [true, true, false, false, false, true]);
     assert_eq!(store.version(), 9);
-    let newest = store.newer(8).expect("the newest");
+    let newest = store.newer_than(8).expect("the newest");
     let text = document::unpack(&newest.packed).expect("it unpacks");
     assert_eq!(text, "text of 9".as_bytes());
-    assert_eq!(store.newer(9), None);
+    assert_eq!(store.newer_than(9), None);
 }
--- a/tests/sidecar_path.rs
+++ b/tests/sidecar_path.rs
@@ -65,7 +65,7 @@
         name: "10-test.toml".to_owned(),
         text,
     };
-    node.store().install(1, &[file]).expect("no findings");
+    node.conf_store().install(1, &[file]).expect("no findings");
     node.set_entry(entry::Entry::start(&node));
     node
 }
