--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -133,10 +133,13 @@
             if !may_repeat {
                 return std::future::pending().await;
             }
-            lifetime.ending().await;
+            lifetime.stopping().await;
             loop {
                 let first = first.saturating_duration_since(Instant::now());
-                if lifetime.left().is_some_and(|left| left < first + writing) {
+                if lifetime
+                    .remaining()
+                    .is_some_and(|left| left < first + writing)
+                {
                     return;
                 }
                 time::sleep(LIFE_POLL).await;
@@ -168,15 +171,15 @@
             tokio::select! {
                 sent = &mut sending => sent,
                 why = self.give_up(context, &server, wait) => match why {
-                    Some(why) => Err(pool::Lost::Sent(why.to_owned())),
+                    Some(why) => Err(pool::Failure::Sent(why.to_owned())),
                     None => sending.await,
                 },
             }
         };
         let response = match sent {
             Ok(response) => response,
-            Err(pool::Lost::Unsent(_)) => return Err(retry::Failure::Unsent.into()),
-            Err(pool::Lost::Sent(why)) => {
+            Err(pool::Failure::Unsent(_)) => return Err(retry::Failure::Unsent.into()),
+            Err(pool::Failure::Sent(why)) => {
                 context.history.ran += 1;
                 return Err(lost(&why).into());
             }
@@ -267,7 +270,7 @@
         let answer = self.dialect.response(&head);
         if answer.not_run || answer.displaced {
             if answer.displaced && answer.at_fault.is_none() {
-                self.displaced(&assignment.server.life);
+                self.server_displaced(&assignment.server.life);
             }
             return Err(retry::Failure::NotRun {
                 at_fault: answer.at_fault,
@@ -340,7 +343,7 @@
             }
         };
         let why = tokio::select! {
-            () = self.dead(server, wait.probe_after) => SILENT,
+            () = self.until_unresponsive(server, wait.probe_after) => SILENT,
             () = hung => HUNG_UP,
         };
         // It has been sent, so it counts as one that may have run.
@@ -358,28 +361,32 @@
     /// Draws conclusions from an attempt that failed.
     fn judge(self: &Arc<Self>, context: &Context, server: &register::Record, end: &retry::Failure) {
         let now = self.node.now();
-        self.counts.attempt(&context.service, end_name(end));
-        if self.lines.allow(Event::AttemptEnded, now) {
+        self.counts.attempt_failed(&context.service, end_name(end));
+        if self.log_limiter.allow(Event::AttemptEnded, now) {
             log_event!(self.node.log(), Event::AttemptEnded, "request" => &context.request.id,
                 "server" => &server.life, "end" => format!("{end:?}"), "ran" => context.history.ran,
                 "tried" => context.history.tried, "left_ms" => context.time_left().as_millis() as u64);
         }
         if retry::suspects_server(&context.route, end) {
-            self.suspect(&server.life);
+            self.pause_server_everywhere(&server.life);
         }
         match end {
-            retry::Failure::Unsent => self.missed(&server.life, "no connection"),
+            retry::Failure::Unsent => self.pause_server(&server.life, "no connection"),
             retry::Failure::Silent => {
-                self.missed(&server.life, "silent");
-                self.died(context.fingerprint, &server.life);
+                self.pause_server(&server.life, "silent");
+                self.server_died(context.fingerprint, &server.life);
+            }
+            retry::Failure::Broken => {
+                self.check_after_disconnect(context.fingerprint, server.clone())
             }
-            retry::Failure::Broken => self.look_after(context.fingerprint, server.clone()),
             retry::Failure::Slow | retry::Failure::Failed => {
                 self.state()
                     .healths
                     .record_response(now, &server.life, false);
             }
-            retry::Failure::NotRun { at_fault, .. } => self.blame(server, at_fault.as_deref()),
+            retry::Failure::NotRun { at_fault, .. } => {
+                self.pause_helper(server, at_fault.as_deref())
+            }
             retry::Failure::Away
             | retry::Failure::Limited(_)
             | retry::Failure::Late
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -9,9 +9,9 @@
 
 use super::Direct;
 use super::context::Context;
+use super::eligibility;
 use super::grant::Reason;
 use super::progress;
-use super::standing;
 use super::turn;
 use crate::direct::deadline;
 use crate::direct::load;
@@ -95,7 +95,8 @@
     fn choose(self: &Arc<Self>, context: &Context, reading: Reading) -> Choice {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { records, part } = standing::candidates(&state, now, context);
+        let eligibility::Candidates { records, part } =
+            eligibility::candidates(&state, now, context);
         if records.is_empty() {
             return Choice::Nowhere;
         }
@@ -171,7 +172,7 @@
         };
         let load = servers[place.writer].load;
         let limit = limit.map_or(0.0, quota::Rate::per_second);
-        if self.lines.allow(Event::RequestPlaced, now) {
+        if self.log_limiter.allow(Event::RequestPlaced, now) {
             log_event!(self.node.log(), Event::RequestPlaced, "request" => &context.request.id,
                 "route" => &context.route.name, "config" => context.version,
                 "server" => &records[place.writer].life, "prompt" => prompt, "aside" => place.reserved.iter().sum::<u64>(),
@@ -199,7 +200,8 @@
     pub(super) fn has_better_server(&self, context: &Context, server: &register::Instance) -> bool {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { mut records, part } = standing::candidates(&state, now, context);
+        let eligibility::Candidates { mut records, part } =
+            eligibility::candidates(&state, now, context);
         records.retain(|one| one.life != *server);
         if records.is_empty() {
             return false;
@@ -213,7 +215,7 @@
             one.is_worth_moving(context.route.objective)
                 && context.completes_before_exit(one.first_ms, writing)
         });
-        if !is_better && self.lines.allow(Event::RequestStays, now) {
+        if !is_better && self.log_limiter.allow(Event::RequestStays, now) {
             log_event!(self.node.log(), Event::RequestStays, "request" => &context.request.id,
                 "server" => server, "others" => servers.len(), "left_ms" => context.time_left().as_millis() as u64);
         }
@@ -256,14 +258,14 @@
         let now = self.node.now();
         let objective = context.route.objective;
         let mut state = self.state();
-        state.observe_pressure(now);
+        state.observe_congestion(now);
         let servers = state.register.ready(now, &context.service).count();
         let away = state.pressure.rejection(&engine, &need, objective, servers);
         drop(state);
         let Some(away) = away else {
             return false;
         };
-        if self.lines.allow(Event::RequestAway, now) {
+        if self.log_limiter.allow(Event::RequestAway, now) {
             log_event!(self.node.log(), Event::RequestAway, "request" => &context.request.id,
                 "prompt" => need.prompt, "level" => away.level, "servers" => servers,
                 "part_ms" => away.fleet_ms as u64);
@@ -337,7 +339,7 @@
     ) -> Result<Assignment, retry::Failure> {
         match self.choose_limited(context, Reason::OnlyLimited).await {
             Ok(Some(assignment)) => Ok(assignment),
-            Ok(None) if context.lifetime.is_ending() => Err(retry::Failure::Ending),
+            Ok(None) if context.lifetime.is_stopping() => Err(retry::Failure::Ending),
             Ok(None) => Err(retry::Failure::Unsent),
             Err(come_back) => Err(retry::Failure::Limited(come_back)),
         }
--- a/src/edge/direct/context.rs
+++ b/src/edge/direct/context.rs
@@ -59,7 +59,7 @@
     /// Time that is left of its caller's time and of this process's.
     pub fn time_left(&self) -> Duration {
         let own = self.caller_time_left();
-        self.lifetime.left().map_or(own, |life| own.min(life))
+        self.lifetime.remaining().map_or(own, |life| own.min(life))
     }
 
     /// Time that is left of its caller's time.
@@ -137,7 +137,7 @@
     pub fn wait(&self) -> deadline::Budget {
         let wait =
             deadline::Budget::new(&self.route, self.began.elapsed(), self.caller_time_left());
-        wait.with_exit(self.lifetime.left())
+        wait.with_exit(self.lifetime.remaining())
     }
 
     /// What placing has to know of a request.
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -13,7 +13,7 @@
 use super::State;
 use super::choose::Assignment;
 use super::context::Context;
-use super::standing;
+use super::eligibility;
 use crate::direct::gossip;
 use crate::direct::load;
 use crate::direct::place;
@@ -117,7 +117,7 @@
         let is_grantor = self.grantors(&context.service).first() == Some(&self.me());
         let mut state = self.state();
         let other = reason != Reason::OnlyLimited;
-        let mut records = standing::limited(&state, now, context, other);
+        let mut records = eligibility::limited(&state, now, context, other);
         if reason == Reason::HasCapacity {
             // Others may ask as well once nobody knows whether the limit goes on.
             records.retain(|one| {
@@ -174,7 +174,7 @@
                 return self.grant(service, servers, most);
             }
             if let Some(grant) = self.ask(grantor, service, servers, most).await {
-                self.counts.granted(grant.server.is_some());
+                self.counts.grant_answered(grant.server.is_some());
                 return match grant.server {
                     Some(server) => Ok(quota::Grant {
                         server,
@@ -183,7 +183,7 @@
                     None => Err(grant.wait),
                 };
             }
-            self.counts.unanswered();
+            self.counts.grant_unanswered();
             let until = self.node.now() + PASSED_OVER;
             self.grant_requests().passed_over.insert(grantor, until);
         }
@@ -216,7 +216,7 @@
             words,
             most,
         };
-        self.tell_one(grantor, gossip::Message::Ask(ask));
+        self.send_to(grantor, gossip::Message::Ask(ask));
         let granted = time::timeout(ASK_TIMEOUT, rx).await;
         self.grant_requests().pending.remove(&number);
         granted.ok()?.ok()
@@ -271,7 +271,7 @@
         };
         match self.grantors(&service).first() {
             Some(grantor) if *grantor != self.me() => {
-                self.tell_one(*grantor, gossip::Message::Charged(server));
+                self.send_to(*grantor, gossip::Message::Charged(server));
             }
             _ => self.receive_charge(server),
         }
@@ -321,7 +321,7 @@
                 .insert(context.service.clone(), until);
             return;
         }
-        if self.lines.allow(Event::RequestLimited, now) {
+        if self.log_limiter.allow(Event::RequestLimited, now) {
             log_event!(self.node.log(), Event::RequestLimited, "request" => &context.request.id,
                 "servers" => servers, "come_back_ms" => come_back.as_millis() as u64,
                 "left_ms" => context.time_left().as_millis() as u64);
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -20,7 +20,7 @@
 use super::attempt;
 use super::context::Context;
 use super::dialect;
-use super::door;
+use super::listener;
 use super::progress;
 use super::span;
 use super::stream;
@@ -81,11 +81,11 @@
     }
 }
 
-impl door::Handler for Direct {
+impl listener::Handler for Direct {
     async fn handle(
         self: &Arc<Self>,
         request: http::Request<body::Incoming>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let (head, body) = request.into_parts();
         let request = self.dialect.request(&head);
         let mut span = span::Span::new(self, &request.id);
@@ -93,14 +93,14 @@
         let admitted = tokio::select! {
             biased;
             admitted = self.admit(request, head, body, span.progress()) => admitted,
-            () = lifetime.over() => Err(Denied::new(StatusCode::SERVICE_UNAVAILABLE, ENDS)),
+            () = lifetime.expired() => Err(Denied::new(StatusCode::SERVICE_UNAVAILABLE, ENDS)),
         };
         let context = match admitted {
             Ok(context) => context,
             Err(denied) => {
                 span.end(denied.status, denied.why);
                 // Other entries have what this one waited for.
-                let is_ending = lifetime.is_ending();
+                let is_ending = lifetime.is_stopping();
                 let come_back = denied
                     .come_back
                     .map(|one| if is_ending { Duration::ZERO } else { one });
@@ -198,7 +198,7 @@
         self: &Arc<Self>,
         mut context: Context,
         mut span: span::Span,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let now = self.node.now();
         self.state().budget.record_request(now, &context.service);
         let end = time::Instant::from_std(context.deadline);
@@ -207,7 +207,7 @@
         let got = tokio::select! {
             biased;
             got = time::timeout_at(end, self.pursue(&mut context, None)) => got,
-            () = lifetime.over() => Ok(Err(context.end_with_process().into())),
+            () = lifetime.expired() => Ok(Err(context.end_with_process().into())),
         };
         let failure = match got {
             Ok(Ok(attempt::Response::Complete(whole))) => {
@@ -275,7 +275,7 @@
     /// Spends a part of the budget of requests that are sent again.
     pub(super) fn spend_retry(&self, service: &str) -> bool {
         let now = self.node.now();
-        let entries = self.entries();
+        let entries = self.entry_count();
         self.state().budget.try_spend(now, service, entries)
     }
 
@@ -300,7 +300,7 @@
         head: &response::Parts,
         first: stream::Chunk,
         mut reader: Box<stream::Reader>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let status = head.status;
         let headers = answer_headers(head);
         let direct = Arc::clone(self);
@@ -351,7 +351,7 @@
                 }
             }
         };
-        let mut response = http::Response::new(door::pieces(Box::pin(pieces)));
+        let mut response = http::Response::new(listener::streamed(Box::pin(pieces)));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
@@ -385,7 +385,7 @@
             resumed = time::timeout_at(end, self.resume(context, reader, lost, after)) => {
                 resumed.ok().flatten()
             }
-            () = lifetime.over() => None,
+            () = lifetime.expired() => None,
         }
     }
 
@@ -398,10 +398,10 @@
         after: Option<&str>,
     ) -> Option<(stream::Chunk, Box<stream::Reader>)> {
         match lost {
-            retry::Failure::Silent => self.missed(&reader.server.life, "silent midway"),
+            retry::Failure::Silent => self.pause_server(&reader.server.life, "silent midway"),
             retry::Failure::Late => return None,
             retry::Failure::Slow => {}
-            _ => self.look_after(context.fingerprint, reader.server.clone()),
+            _ => self.check_after_disconnect(context.fingerprint, reader.server.clone()),
         }
         context.failed_servers.push(reader.server.life.clone());
         let after = after?;
@@ -468,16 +468,16 @@
     headers
 }
 
-fn pass_on(whole: attempt::Complete) -> http::Response<door::Body> {
+fn pass_on(whole: attempt::Complete) -> http::Response<listener::Body> {
     let headers = answer_headers(&whole.head);
-    let mut response = http::Response::new(door::whole(whole.body));
+    let mut response = http::Response::new(listener::full(whole.body));
     *response.status_mut() = whole.head.status;
     *response.headers_mut() = headers;
     response
 }
 
-fn refuse(status: StatusCode, come_back: Option<Duration>) -> http::Response<door::Body> {
-    let mut response = http::Response::new(door::whole(Bytes::new()));
+fn refuse(status: StatusCode, come_back: Option<Duration>) -> http::Response<listener::Body> {
+    let mut response = http::Response::new(listener::full(Bytes::new()));
     *response.status_mut() = status;
     if let Some(after) = come_back {
         let seconds = format!("{:.3}", after.as_secs_f64());
