--- a/src/edge/entry/core.rs
+++ b/src/edge/entry/core.rs
@@ -40,7 +40,7 @@
 const NOTE_PAUSE: Duration = Duration::from_millis(1);
 
 /// The router's answer to a request for a place.
-pub type Choice = Result<job::Place, outcome::Failure>;
+pub type Choice = Result<job::Placement, outcome::Failure>;
 
 type Listed = oneshot::Sender<Vec<member::Announce>>;
 
@@ -187,7 +187,7 @@
         }
         let view = self.node.view();
         if !Arc::ptr_eq(&self.view, &view) {
-            self.router.suspects(&view.suspects);
+            self.router.set_suspects(&view.suspects);
             self.view = view;
         }
     }
--- a/src/edge/entry/drive.rs
+++ b/src/edge/entry/drive.rs
@@ -62,7 +62,7 @@
     streams: Vec<stream::Stream>,
     choice: Option<oneshot::Receiver<core::Choice>>,
     verdict: Option<Verdict>,
-    place: Option<job::Place>,
+    place: Option<job::Placement>,
     /// The attempt whose first token is awaited or came, and whether it came.
     current: Option<(id::Attempt, bool)>,
     usage: Option<run::Usage>,
@@ -223,9 +223,9 @@
             }
             Input::Gone => {
                 self.parts.clear();
-                self.event(request::Event::Gone);
+                self.event(request::Event::Disconnected);
             }
-            Input::Ending => self.event(request::Event::Ending),
+            Input::Ending => self.event(request::Event::ShuttingDown),
             Input::Reply(index, reply) => self.reply(index, reply).await,
             Input::Choice(Ok(mut place)) => {
                 if let Some(plan) = place.gang.take() {
@@ -238,7 +238,7 @@
                 self.event(request::Event::Chosen(target));
             }
             Input::Choice(Err(failure)) => self.event(request::Event::Unplaced(failure)),
-            Input::Verdict(verdict) => self.event(request::Event::Verdict(verdict)),
+            Input::Verdict(verdict) => self.event(request::Event::ClaimResult(verdict)),
         }
     }
 
@@ -256,22 +256,23 @@
         }
         let Some(reply) = reply else {
             self.streams.swap_remove(index);
-            self.note(attempt, job::Note::Lost).await;
+            self.note(attempt, job::Feedback::Lost).await;
             self.event(request::Event::Lost(attempt));
             return;
         };
         let ends = match &reply {
             run::Reply::Chunk { .. } | run::Reply::Head { .. } => {
-                self.note(attempt, job::Note::First).await;
+                self.note(attempt, job::Feedback::FirstOutput).await;
                 false
             }
             run::Reply::Refused { failure, load, .. } => {
-                self.note(attempt, job::Note::Refused(failure.cause, *load))
+                self.note(attempt, job::Feedback::Refused(failure.cause, *load))
                     .await;
                 true
             }
             run::Reply::Failed { failure, .. } => {
-                self.note(attempt, job::Note::Failed(failure.cause)).await;
+                self.note(attempt, job::Feedback::Failed(failure.cause))
+                    .await;
                 self.alarm(attempt, failure.cause).await;
                 true
             }
@@ -305,15 +306,15 @@
     }
 
     /// Tells the router what became of the current attempt.
-    async fn note(&mut self, attempt: id::Attempt, note: job::Note) {
+    async fn note(&mut self, attempt: id::Attempt, note: job::Feedback) {
         let Some((current, first)) = &mut self.current else {
             return;
         };
-        if *current != attempt || (*first && note == job::Note::First) {
+        if *current != attempt || (*first && note == job::Feedback::FirstOutput) {
             return;
         }
-        *first |= note == job::Note::First;
-        let event = router::Event::Note(self.submission.request, note);
+        *first |= note == job::Feedback::FirstOutput;
+        let event = router::Event::Feedback(self.submission.request, note);
         self.core.tell(event).await;
     }
 
--- a/src/edge/entry/drive/ask.rs
+++ b/src/edge/entry/drive/ask.rs
@@ -22,7 +22,7 @@
 impl Drive {
     pub(super) fn claim(&mut self) {
         let Some(key) = self.submission.key.clone() else {
-            self.event(request::Event::Verdict(agree::Verdict::Claimed));
+            self.event(request::Event::ClaimResult(agree::Verdict::Claimed));
             return;
         };
         let command = agree::Command::Claim {
--- a/src/edge/entry/drive/gang.rs
+++ b/src/edge/entry/drive/gang.rs
@@ -24,7 +24,7 @@
 
 impl Drive {
     /// Takes the router's word on a gang's members.
-    pub(super) fn planned(&mut self, place: job::Place, plan: plan::Plan) {
+    pub(super) fn planned(&mut self, place: job::Placement, plan: plan::Plan) {
         if self.gang.is_none() {
             let body = self.submission.body.clone();
             let max_tokens = match &self.submission.work {
@@ -58,7 +58,7 @@
         driven.avoid = avoid.to_vec();
         driven.ready = None;
         driven.sent = false;
-        self.gang_event(gang::Event::Again);
+        self.gang_event(gang::Event::Restart);
         true
     }
 
@@ -102,10 +102,10 @@
             gang::Action::Offer {
                 target,
                 attempt,
-                part,
+                segment,
                 tokens,
-                room,
-            } => self.offer_segment(&target, attempt, part, tokens, room),
+                final_tokens,
+            } => self.offer_segment(&target, attempt, segment, tokens, final_tokens),
             gang::Action::Hold(attempt, context) => {
                 if let Some(stream) = self.stream(attempt) {
                     stream.call(run::Call::Hold { attempt, context });
@@ -132,11 +132,11 @@
                 }
                 if let Some(place) = &mut self.place {
                     place.target = target.clone();
-                    place.prompt_tokens = plan::TAIL_TOKENS;
+                    place.prompt_tokens = plan::MAX_TAIL_TOKENS;
                 }
                 self.event(request::Event::Chosen(target));
             }
-            gang::Action::Broken(failure) => self.broken(failure),
+            gang::Action::StopRun(failure) => self.broken(failure),
             gang::Action::Fail(failure) => self.event(request::Event::Unplaced(failure)),
         }
     }
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -111,11 +111,11 @@
     /// Since when this entry knows its servers: those that it found are not new.
     pub started: Duration,
     /// Whether the workspace is over its share.
-    pub over: bool,
+    pub over_share: bool,
     /// Class with whose prompts the request would be prefilled.
-    pub band: run::Class,
+    pub priority_class: run::Class,
     /// Whether a long request came lately.
-    pub long_lately: bool,
+    pub long_recent: bool,
 }
 
 /// What came of it.
@@ -151,7 +151,7 @@
                 continue;
             };
             if server.is_open(self.now) && server.serves(job.model.as_deref()) {
-                fits |= waiting.memory() <= server.last.load.memory_tokens;
+                fits |= waiting.memory() <= server.announced.load.memory_tokens;
                 open.push(Candidate {
                     index,
                     position,
@@ -199,7 +199,7 @@
 
     fn avoided(&self, waiting: &queue::Waiting, candidate: &Candidate) -> bool {
         let server = self.fleet.server(candidate.index);
-        server.is_some_and(|server| waiting.job.avoid.contains(&server.last.server))
+        server.is_some_and(|server| waiting.job.avoid.contains(&server.announced.server))
     }
 
     fn best(
@@ -261,7 +261,7 @@
         let Some(server) = self.fleet.server(candidate.index) else {
             return false;
         };
-        let load = &server.last.load;
+        let load = &server.announced.load;
         let kept = match waiting.class {
             run::Class::Short => 0,
             run::Class::Medium | run::Class::Long => 1,
@@ -291,7 +291,7 @@
         if !self.suspects.has(print) {
             return true;
         }
-        if server.suspects > 0 || self.suspects.killed(print, &server.last.server) {
+        if server.suspects > 0 || self.suspects.killed(print, &server.announced.server) {
             return false;
         }
         self.suspects
@@ -306,9 +306,9 @@
         candidate: &Candidate,
         server: &fleet::Server,
     ) -> bool {
-        let load = &server.last.load;
+        let load = &server.announced.load;
         let ramp = self.ramp(server);
-        if let Some((holder, since)) = server.held {
+        if let Some((holder, since)) = server.held_for {
             let open = waiting.class == run::Class::Short && self.now < since + HELD_PATIENCE;
             if holder != waiting.job.request && !open {
                 return false;
@@ -325,7 +325,7 @@
                 run::Class::Long => LONG_RESERVE,
             };
         let mut slots = f64::from(load.slots) * (1.0 - reserve) * ramp;
-        if self.over {
+        if self.over_share {
             slots -= f64::from(load.slots) * OVER_RESERVE;
         }
         if f64::from(server.busy()) >= slots.max(1.0) {
@@ -335,7 +335,7 @@
             return true;
         }
         let holds = server
-            .held
+            .held_for
             .is_some_and(|(holder, _)| holder == waiting.job.request);
         let memory = load.memory_tokens as f64 * (1.0 - reserve);
         let used = server.used_tokens();
@@ -348,8 +348,8 @@
         if !self.open_to_others(waiting, candidate, server) {
             return false;
         }
-        let part = if self.over { OVER_CAP } else { 1.0 };
-        let ahead = server.ahead(self.now, self.band) as f64 / server.rate() as f64;
+        let part = if self.over_share { OVER_CAP } else { 1.0 };
+        let ahead = server.ahead(self.now, self.priority_class) as f64 / server.rate() as f64;
         ahead <= CAP.as_secs_f64() * part * ramp
     }
 
@@ -382,7 +382,7 @@
         candidate: &Candidate,
         server: &fleet::Server,
     ) -> bool {
-        let slots = server.last.load.slots;
+        let slots = server.announced.load.slots;
         if server.has_long() {
             // Others go before it at the engine, so only so many at a time.
             let part = BESIDE_LONG_MIN + (BESIDE_LONG_MAX - BESIDE_LONG_MIN) * self.weight();
@@ -390,7 +390,7 @@
                 return false;
             }
         }
-        if candidate.count < 2 || !self.long_lately || !self.in_lane(candidate) {
+        if candidate.count < 2 || !self.long_recent || !self.in_lane(candidate) {
             return true;
         }
         if server.busy() + slots.div_ceil(KEPT_SLOTS) + LANE_SLOTS > slots {
@@ -429,20 +429,20 @@
         candidate: &Candidate,
         server: &fleet::Server,
     ) -> f64 {
-        let zone = if server.last.zone == self.zone {
+        let zone = if server.announced.zone == self.zone {
             0.0
         } else {
             ZONE_COST
         };
         if waiting.job.model.is_none() {
-            return zone + f64::from(server.busy()) / f64::from(server.last.load.slots.max(1));
+            return zone + f64::from(server.busy()) / f64::from(server.announced.load.slots.max(1));
         }
         let rate = server.rate() as f64;
         let weight = self.weight();
         let own = self.uncached(waiting, candidate.index) as f64 / rate;
-        let ahead = server.ahead(self.now, self.band) as f64 / rate;
+        let ahead = server.ahead(self.now, self.priority_class) as f64 / rate;
         let step = STEP_TOKENS / rate;
-        let token = server.last.load.token_micros as f64 / 1e6;
+        let token = server.announced.load.token_micros as f64 / 1e6;
         let busy = server.busy();
         let others = match waiting.class {
             // Each step of a prefill is slower while others generate.
@@ -455,7 +455,7 @@
             }
             run::Class::Short | run::Class::Medium => 0.0,
         };
-        let batch = f64::from(busy) / f64::from(server.last.load.slots.max(1));
+        let batch = f64::from(busy) / f64::from(server.announced.load.slots.max(1));
         ahead + own + others + zone + batch * step
     }
 
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Server {
     /// Its last announcement.
-    pub last: member::Announce,
+    pub announced: member::Announce,
     /// When it, or an exact load, was received.
     pub reported: Duration,
     /// When its lease ends.
@@ -39,21 +39,21 @@
     /// When it arrived, or a new life of its engine.
     pub arrived: Duration,
     /// Attempts of this entry in progress there.
-    pub mine: u32,
+    pub own_attempts: u32,
     /// Of these, attempts under suspicion of killing engines.
     pub suspects: u32,
     /// Whether it gets work.
     pub breaker: breaker::Breaker,
     /// A request that waits for this server's memory, and since when. Others keep out.
-    pub held: Option<(id::Request, Duration)>,
+    pub held_for: Option<(id::Request, Duration)>,
     /// Whether a prefill of this entry there is slow: nothing more is put before it.
     pub protected: bool,
     /// Tokens of memory of this entry's attempts.
-    mine_memory: u64,
+    own_memory: u64,
     /// Long attempts of this entry that have not shown their first token.
-    mine_long: u32,
+    own_long: u32,
     /// Work of this entry that has not shown its first token.
-    mine_ahead: Tokens,
+    own_ahead: Tokens,
     /// What other entries have there.
     others: Others,
 }
@@ -80,13 +80,13 @@
 
 /// One attempt of this entry on a server.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct Attempt {
     /// Where.
     pub server: Index,
     /// Class of length.
     pub class: run::Class,
     /// Class with whose prompts it is prefilled.
-    pub band: run::Class,
+    pub priority_class: run::Class,
     /// Prompt tokens expected to need prefill.
     pub uncached: u64,
     /// Tokens of memory that it may take.
@@ -96,7 +96,7 @@
     /// When it was placed.
     pub placed: Duration,
     /// Whether its first token came.
-    pub first: bool,
+    pub prefilled: bool,
 }
 
 impl Server {
@@ -105,15 +105,15 @@
             reported: now,
             expires: now + Duration::from_millis(announce.lease_ms),
             arrived: now,
-            last: announce,
-            mine: 0,
+            announced: announce,
+            own_attempts: 0,
             suspects: 0,
             breaker: breaker::Breaker::default(),
-            held: None,
+            held_for: None,
             protected: false,
-            mine_memory: 0,
-            mine_long: 0,
-            mine_ahead: Tokens::default(),
+            own_memory: 0,
+            own_long: 0,
+            own_ahead: Tokens::default(),
             others: Others::default(),
         };
         server.learn(1.0);
@@ -123,25 +123,25 @@
     /// How to reach it.
     pub fn target(&self) -> request::Target {
         request::Target {
-            server: self.last.server.clone(),
-            link: self.last.link,
-            sidecar: self.last.sidecar,
+            server: self.announced.server.clone(),
+            link: self.announced.link,
+            sidecar: self.announced.sidecar,
         }
     }
 
     /// Whether it is present and takes new work.
     pub fn is_open(&self, now: Duration) -> bool {
-        !self.last.leaving && now < self.expires
+        !self.announced.leaving && now < self.expires
     }
 
     /// Whether it has the model.
     pub fn serves(&self, model: Option<&str>) -> bool {
-        model.is_none_or(|model| self.last.models.iter().any(|known| known == model))
+        model.is_none_or(|model| self.announced.models.iter().any(|known| known == model))
     }
 
     /// Prefill speed in tokens a second, never 0.
     pub fn rate(&self) -> u64 {
-        match self.last.load.prefill_rate {
+        match self.announced.load.prefill_rate {
             0 => DEFAULT_RATE,
             rate => rate,
         }
@@ -149,12 +149,12 @@
 
     /// Attempts that hold a slot: this entry's, and what others seem to have.
     pub fn busy(&self) -> u32 {
-        self.mine + self.others.attempts.round() as u32
+        self.own_attempts + self.others.attempts.round() as u32
     }
 
     /// Tokens of memory taken.
     pub fn used_tokens(&self) -> u64 {
-        self.mine_memory + self.others.memory as u64
+        self.own_memory + self.others.memory as u64
     }
 
     /// Prompt tokens to be prefilled before a new prompt of `class` gets its turn: this entry's,
@@ -163,65 +163,65 @@
         let age = now.saturating_sub(self.reported).as_secs_f64();
         let done = self.rate() as f64 * age;
         let others = (self.others.ahead[rank(class)] - done).max(0.0);
-        up_to(&self.mine_ahead, class) + others as u64
+        up_to(&self.own_ahead, class) + others as u64
     }
 
     /// Takes the last report into the mean of the others' load.
     fn learn(&mut self, gain: f64) {
-        let load = &self.last.load;
-        let less = |all: u64, mine: u64| all.saturating_sub(mine) as f64;
+        let load = &self.announced.load;
+        let less = |all: u64, own: u64| all.saturating_sub(own) as f64;
         let reported = [load.short_ahead, load.medium_ahead, load.all_ahead];
         let mut sample = Others {
             attempts: less(
                 u64::from(load.running + load.reserved),
-                u64::from(self.mine),
+                u64::from(self.own_attempts),
             ),
-            memory: less(load.used_tokens, self.mine_memory),
+            memory: less(load.used_tokens, self.own_memory),
             ahead: [0.0; 3],
         };
         for (index, class) in CLASSES.into_iter().enumerate() {
-            let mine = up_to(&self.mine_ahead, class);
-            sample.ahead[index] = less(reported[index], mine);
+            let own = up_to(&self.own_ahead, class);
+            sample.ahead[index] = less(reported[index], own);
         }
         self.others.learn(&sample, gain);
     }
 
     /// Whether a long prompt is in prefill there.
     pub fn has_long(&self) -> bool {
-        let load = &self.last.load;
-        self.mine_long > 0 || load.long > 0
+        let load = &self.announced.load;
+        self.own_long > 0 || load.long > 0
     }
 
     fn report(&mut self, now: Duration, announce: member::Announce, gain: f64) {
         self.reported = now;
-        self.last = announce;
+        self.announced = announce;
         self.learn(gain);
     }
 
-    fn enter(&mut self, flight: &Flight) {
-        self.mine += 1;
-        self.suspects += u32::from(flight.suspect);
-        self.mine_memory += flight.memory;
-        self.mine_long += u32::from(flight.class == run::Class::Long);
-        self.mine_ahead[rank(flight.band)] += flight.uncached;
+    fn add(&mut self, attempt: &Attempt) {
+        self.own_attempts += 1;
+        self.suspects += u32::from(attempt.suspect);
+        self.own_memory += attempt.memory;
+        self.own_long += u32::from(attempt.class == run::Class::Long);
+        self.own_ahead[rank(attempt.priority_class)] += attempt.uncached;
     }
 
-    /// Takes the prefill work of `flight` out of the sums.
-    fn prefilled(&mut self, flight: &Flight) {
-        let long = u32::from(flight.class == run::Class::Long);
-        self.mine_long = self.mine_long.saturating_sub(long);
-        self.last.load.long = self.last.load.long.saturating_sub(long);
-        let mine = &mut self.mine_ahead[rank(flight.band)];
-        *mine = mine.saturating_sub(flight.uncached);
+    /// Takes the prefill work of `attempt` out of the sums.
+    fn end_prefill(&mut self, attempt: &Attempt) {
+        let long = u32::from(attempt.class == run::Class::Long);
+        self.own_long = self.own_long.saturating_sub(long);
+        self.announced.load.long = self.announced.load.long.saturating_sub(long);
+        let own = &mut self.own_ahead[rank(attempt.priority_class)];
+        *own = own.saturating_sub(attempt.uncached);
     }
 
-    fn leave(&mut self, flight: &Flight) {
-        if !flight.first {
-            self.prefilled(flight);
+    fn remove(&mut self, attempt: &Attempt) {
+        if !attempt.prefilled {
+            self.end_prefill(attempt);
         }
-        self.mine = self.mine.saturating_sub(1);
-        self.mine_memory = self.mine_memory.saturating_sub(flight.memory);
-        self.suspects = self.suspects.saturating_sub(u32::from(flight.suspect));
+        self.own_attempts = self.own_attempts.saturating_sub(1);
+        self.own_memory = self.own_memory.saturating_sub(attempt.memory);
+        self.suspects = self.suspects.saturating_sub(u32::from(attempt.suspect));
     }
 }
 
@@ -260,7 +260,7 @@
     names: HashMap<String, Index>,
     /// Invariant: each present server stands once, under its service, in the order of names.
     services: HashMap<String, Vec<Index>>,
-    flights: HashMap<id::Request, Flight>,
+    attempts: HashMap<id::Request, Attempt>,
 }
 
 impl Fleet {
@@ -272,13 +272,13 @@
         let Some(server) = &mut self.servers[index] else {
             return Change::Ignored;
         };
-        let known = (server.last.sidecar, server.last.seq);
+        let known = (server.announced.sidecar, server.announced.seq);
         if (announce.sidecar, announce.seq) <= known {
             return Change::Ignored;
         }
-        let same_life =
-            announce.sidecar == server.last.sidecar && announce.engine == server.last.engine;
-        if announce.service != server.last.service {
+        let same_life = announce.sidecar == server.announced.sidecar
+            && announce.engine == server.announced.engine;
+        if announce.service != server.announced.service {
             self.remove(index);
             return self.arrive(now, announce);
         }
@@ -307,7 +307,7 @@
         let service = self.services.entry(announce.service.clone()).or_default();
         let position = service.partition_point(|&other| {
             let other = self.servers[other].as_ref();
-            other.is_some_and(|other| other.last.server < announce.server)
+            other.is_some_and(|other| other.announced.server < announce.server)
         });
         service.insert(position, index);
         self.servers[index] = Some(Server::new(now, announce));
@@ -318,14 +318,14 @@
         let Some(server) = self.servers[index].take() else {
             return;
         };
-        self.names.remove(&server.last.server);
-        if let Some(list) = self.services.get_mut(&server.last.service) {
+        self.names.remove(&server.announced.server);
+        if let Some(list) = self.services.get_mut(&server.announced.service) {
             list.retain(|&other| other != index);
             if list.is_empty() {
-                self.services.remove(&server.last.service);
+                self.services.remove(&server.announced.service);
             }
         }
-        self.flights.retain(|_, flight| flight.server != index);
+        self.attempts.retain(|_, attempt| attempt.server != index);
         self.free.push(index);
     }
 
@@ -335,7 +335,7 @@
         let gone: Vec<Index> = (0..self.servers.len())
             .filter(|&index| {
                 self.server(index)
-                    .is_some_and(|server| now >= server.expires && server.mine == 0)
+                    .is_some_and(|server| now >= server.expires && server.own_attempts == 0)
             })
             .collect();
         for &index in &gone {
@@ -356,7 +356,7 @@
             .iter()
             .flatten()
             .filter(|server| now < server.expires);
-        live.map(|server| server.last.clone()).collect()
+        live.map(|server| server.announced.clone()).collect()
     }
 
     /// The servers of a service, by name.
@@ -381,38 +381,38 @@
     }
 
     /// Counts an attempt in. One that the request had elsewhere is counted out.
-    pub fn enter(&mut self, request: id::Request, flight: Flight) {
-        self.leave(request);
-        if let Some(Some(server)) = self.servers.get_mut(flight.server) {
-            server.enter(&flight);
-            self.flights.insert(request, flight);
+    pub fn add_attempt(&mut self, request: id::Request, attempt: Attempt) {
+        self.remove_attempt(request);
+        if let Some(Some(server)) = self.servers.get_mut(attempt.server) {
+            server.add(&attempt);
+            self.attempts.insert(request, attempt);
         }
     }
 
     /// The attempt of a request.
-    pub fn flight(&self, request: id::Request) -> Option<&Flight> {
-        self.flights.get(&request)
+    pub fn attempt(&self, request: id::Request) -> Option<&Attempt> {
+        self.attempts.get(&request)
     }
 
     /// The request's first token came: its prefill is done. Returns the time from its placing.
-    pub fn first(&mut self, now: Duration, request: id::Request) -> Option<Duration> {
-        let flight = self.flights.get_mut(&request)?;
-        if flight.first {
+    pub fn first_output(&mut self, now: Duration, request: id::Request) -> Option<Duration> {
+        let attempt = self.attempts.get_mut(&request)?;
+        if attempt.prefilled {
             return None;
         }
-        let server = self.servers[flight.server].as_mut()?;
-        server.prefilled(flight);
-        flight.first = true;
-        Some(now.saturating_sub(flight.placed))
+        let server = self.servers[attempt.server].as_mut()?;
+        server.end_prefill(attempt);
+        attempt.prefilled = true;
+        Some(now.saturating_sub(attempt.placed))
     }
 
     /// Counts the attempt of a request out.
-    pub fn leave(&mut self, request: id::Request) -> Option<Flight> {
-        let flight = self.flights.remove(&request)?;
-        if let Some(Some(server)) = self.servers.get_mut(flight.server) {
-            server.leave(&flight);
+    pub fn remove_attempt(&mut self, request: id::Request) -> Option<Attempt> {
+        let attempt = self.attempts.remove(&request)?;
+        if let Some(Some(server)) = self.servers.get_mut(attempt.server) {
+            server.remove(&attempt);
         }
-        Some(flight)
+        Some(attempt)
     }
 
     /// Marks the servers with a prefill of this entry that takes more than `slow` times its own
@@ -420,16 +420,17 @@
     pub fn protect(&mut self, now: Duration, slow: f64, least: Duration) {
         let mut marked: HashMap<Index, Duration> = HashMap::new();
         // A workspace over its share goes after the others on purpose.
-        let awaited = |flight: &&Flight| !flight.first && flight.band <= flight.class;
-        for flight in self.flights.values().filter(awaited) {
-            let Some(Some(server)) = self.servers.get(flight.server) else {
+        let awaited =
+            |attempt: &&Attempt| !attempt.prefilled && attempt.priority_class <= attempt.class;
+        for attempt in self.attempts.values().filter(awaited) {
+            let Some(Some(server)) = self.servers.get(attempt.server) else {
                 continue;
             };
-            let own = flight.uncached as f64 / server.rate() as f64;
-            let age = now.saturating_sub(flight.placed);
+            let own = attempt.uncached as f64 / server.rate() as f64;
+            let age = now.saturating_sub(attempt.placed);
             if age > least && age.as_secs_f64() > slow * own {
-                let oldest = marked.entry(flight.server).or_insert(flight.placed);
-                *oldest = flight.placed.min(*oldest);
+                let oldest = marked.entry(attempt.server).or_insert(attempt.placed);
+                *oldest = attempt.placed.min(*oldest);
             }
         }
         for server in self.servers.iter_mut().flatten() {
@@ -453,7 +454,7 @@
     /// Takes the exact load that came with a refusal.
     pub fn set_load(&mut self, now: Duration, index: Index, load: member::Load) {
         if let Some(Some(server)) = self.servers.get_mut(index) {
-            let mut announce = server.last.clone();
+            let mut announce = server.announced.clone();
             announce.load = load;
             server.report(now, announce, 1.0);
         }
--- a/src/entry/gang.rs
+++ b/src/entry/gang.rs
@@ -82,7 +82,7 @@
     /// The stream of this segment's attempt failed or ended.
     Lost(id::Attempt),
     /// The final run is over without a whole answer, and the request may be tried again.
-    Again,
+    Restart,
     /// The request is over.
     Close,
 }
@@ -102,11 +102,11 @@
         /// As what.
         attempt: id::Attempt,
         /// Its part of the prompt.
-        part: Range<usize>,
+        segment: Range<usize>,
         /// Estimated tokens of it.
         tokens: u64,
         /// Tokens to keep for the final run.
-        room: u64,
+        final_tokens: u64,
     },
     /// Send `Hold`.
     Hold(id::Attempt, Vec<run::Context>),
@@ -126,7 +126,7 @@
         tail: usize,
     },
     /// A member was lost under the final run, which must be stopped.
-    Broken(outcome::Failure),
+    StopRun(outcome::Failure),
     /// There is no place for the request. The last action.
     Fail(outcome::Failure),
 }
@@ -144,7 +144,7 @@
     Filling(usize),
     /// All are held; the final run goes on.
     Ready,
-    /// The final run was told to stop; `Again` or `Close` follows. Invariant: no members.
+    /// The final run was told to stop; `Restart` or `Close` follows. Invariant: no members.
     Idle,
     /// It is over. Invariant: no members.
     Over,
@@ -222,7 +222,7 @@
                     self.lost(now, at, &mut out);
                 }
             }
-            Event::Again => {
+            Event::Restart => {
                 if matches!(self.phase, Phase::Ready | Phase::Idle) {
                     self.release(&mut out);
                     self.retry = true;
@@ -297,7 +297,7 @@
         self.planned = shares
             .into_iter()
             .zip(parts)
-            .filter(|(_, part)| !part.is_empty())
+            .filter(|(_, segment)| !segment.is_empty())
             .collect();
         self.planned
             .sort_by(|a, b| b.0.target.server.cmp(&a.0.target.server));
@@ -314,7 +314,7 @@
 
     /// Offers the next segment, or starts the prefill when all are reserved.
     fn reserve(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let Some((share, part)) = self.planned.pop() else {
+        let Some((share, segment)) = self.planned.pop() else {
             self.refusals = 0;
             return self.fill(now, 0, out);
         };
@@ -324,8 +324,8 @@
             number: FIRST_NUMBER + self.attempts,
         };
         self.attempts += 1;
-        let room = if self.planned.is_empty() {
-            plan::final_room(self.profile.max_tokens)
+        let final_tokens = if self.planned.is_empty() {
+            plan::final_run_tokens(self.profile.max_tokens)
         } else {
             0
         };
@@ -333,17 +333,17 @@
             now,
             share.target.clone(),
             attempt,
-            part.clone(),
+            segment.clone(),
             share.tokens,
-            room,
+            final_tokens,
         );
         self.members.push(member);
         out.push(Action::Offer {
             target: share.target,
             attempt,
-            part,
+            segment,
             tokens: share.tokens,
-            room,
+            final_tokens,
         });
     }
 
@@ -369,7 +369,7 @@
             out.push(Action::Ready {
                 target: last.target.clone(),
                 context,
-                tail: last.part.end,
+                tail: last.segment.end,
             });
         }
     }
@@ -398,7 +398,7 @@
                 if self.phase == Phase::Filling(at) {
                     let member = &mut self.members[at];
                     member.step = Step::Held(segment);
-                    out.push(Action::Learn(member.part.len() as u64, tokens));
+                    out.push(Action::Learn(member.segment.len() as u64, tokens));
                     self.fill(now, at + 1, out);
                 }
             }
@@ -465,7 +465,7 @@
     fn break_up(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
         self.release(out);
         self.phase = Phase::Idle;
-        out.push(Action::Broken(failure));
+        out.push(Action::StopRun(failure));
     }
 
     /// Gives everything back.
--- a/src/entry/gang/member.rs
+++ b/src/entry/gang/member.rs
@@ -40,11 +40,11 @@
     /// Its attempt.
     pub attempt: id::Attempt,
     /// Its part of the prompt.
-    pub part: Range<usize>,
+    pub segment: Range<usize>,
     /// Estimated tokens of it.
     pub tokens: u64,
     /// Tokens that it keeps for the final run.
-    pub room: u64,
+    pub final_tokens: u64,
     /// How far it is.
     pub step: Step,
     /// Since when contact is lost.
@@ -61,16 +61,16 @@
         now: Duration,
         target: request::Target,
         attempt: id::Attempt,
-        part: Range<usize>,
+        segment: Range<usize>,
         tokens: u64,
-        room: u64,
+        final_tokens: u64,
     ) -> Self {
         Self {
             target,
             attempt,
-            part,
+            segment,
             tokens,
-            room,
+            final_tokens,
             step: Step::Offered,
             lost: None,
             due: Some(now + RESERVE_TIMEOUT),
--- a/src/entry/gang/plan.rs
+++ b/src/entry/gang/plan.rs
@@ -9,10 +9,10 @@
 pub const MAX_MEMBERS: usize = 16;
 
 /// Bytes at the prompt's end that belong to no segment: the prompt of the final run.
-pub const TAIL: usize = 1_024;
+pub const TAIL_BYTES: usize = 1_024;
 
 /// Tokens of the tail at the most.
-pub const TAIL_TOKENS: u64 = TAIL as u64;
+pub const MAX_TAIL_TOKENS: u64 = TAIL_BYTES as u64;
 
 /// A guess takes at most all but one part in so many of the memory that there is.
 const GUESS_PARTS: u64 = 4;
@@ -52,7 +52,7 @@
 
 /// What the candidates allow.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// These can take it now.
     Now(Vec<Share>),
     /// These will be able to, once they have room.
@@ -62,13 +62,13 @@
 }
 
 /// Tokens that the answering member keeps for the final run.
-pub fn final_room(max_tokens: u32) -> u64 {
-    room::segment(TAIL_TOKENS, u64::from(max_tokens))
+pub fn final_run_tokens(max_tokens: u32) -> u64 {
+    room::segment(MAX_TAIL_TOKENS, u64::from(max_tokens))
 }
 
 /// Chooses the fewest members for a prompt of `tokens`. If that is a guess and the candidates
 /// cannot hold it, all of them are tried.
-pub fn choose(candidates: &[Candidate], tokens: u64, max_tokens: u32, is_guess: bool) -> Verdict {
+pub fn choose(candidates: &[Candidate], tokens: u64, max_tokens: u32, is_guess: bool) -> Decision {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by(|a, b| {
         let rank = |c: &Candidate| (c.avoid, u64::MAX - c.free, c.ahead);
@@ -76,7 +76,7 @@
             .cmp(&rank(b))
             .then(a.target.server.cmp(&b.target.server))
     });
-    let kept = final_room(max_tokens);
+    let kept = final_run_tokens(max_tokens);
     let need = room::segment(tokens, kept);
     let largest = most(candidates, |c| c.memory);
     let need_now = if is_guess {
@@ -87,15 +87,15 @@
     if most(candidates, |c| c.free) >= need_now {
         let members = take(&ranked, need_now, |c| c.free);
         if let Some(shares) = share(&members, tokens, kept, is_guess) {
-            return Verdict::Now(shares);
+            return Decision::Now(shares);
         }
     }
     ranked.sort_by_key(|c| (c.avoid, c.memory - c.free.min(c.memory)));
     if largest < need_now {
-        return Verdict::Never;
+        return Decision::Never;
     }
     let members = take(&ranked, need_now, |c| c.memory);
-    Verdict::Later(members.iter().map(|c| c.target.server.clone()).collect())
+    Decision::Later(members.iter().map(|c| c.target.server.clone()).collect())
 }
 
 /// What the [`MAX_MEMBERS`] candidates with the most have together.
@@ -151,7 +151,7 @@
 /// Splits a text by the members' shares, on borders of characters. What is left over after the
 /// last part is the tail, which is not empty.
 pub fn split(text: &[u8], shares: &[Share]) -> Vec<Range<usize>> {
-    let end = border(text, text.len().saturating_sub(TAIL));
+    let end = border(text, text.len().saturating_sub(TAIL_BYTES));
     let sum: u128 = shares.iter().map(|share| u128::from(share.tokens)).sum();
     let mut parts = Vec::with_capacity(shares.len());
     let mut start = 0;
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -38,7 +38,7 @@
 
 /// A place for a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     /// Where.
     pub target: request::Target,
     /// Estimated length of the prompt in tokens.
@@ -53,11 +53,11 @@
 
 /// What became of the attempt that a place was given for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Feedback {
     /// The sidecar refused it; this is the exact load there.
     Refused(outcome::Cause, member::Load),
     /// Its first token or byte came.
-    First,
+    FirstOutput,
     /// The sidecar says that it failed.
     Failed(outcome::Cause),
     /// Contact to the sidecar was lost.
--- a/src/entry/prefix.rs
+++ b/src/entry/prefix.rs
@@ -10,7 +10,7 @@
 use crate::wire::member;
 
 /// Bytes of a block.
-pub const BLOCK: usize = 4_096;
+pub const BLOCK_BYTES: usize = 4_096;
 
 /// Most pairs of block and server remembered; about 40 MB. The oldest go first.
 pub const MAX_PAIRS: usize = 400_000;
@@ -26,7 +26,7 @@
 pub fn blocks(prompt: &[u8]) -> Vec<u64> {
     let mut hash = 0;
     prompt
-        .chunks_exact(BLOCK)
+        .chunks_exact(BLOCK_BYTES)
         .take(MAX_BLOCKS)
         .map(|block| {
             hash = block.iter().fold(hash, |hash, &byte| push(hash, byte));
@@ -65,7 +65,7 @@
 
 impl Prefix {
     /// Takes a server's news. A gap drops what was learned from it before.
-    pub fn news(&mut self, server: fleet::Index, cache: &member::Cache) {
+    pub fn update(&mut self, server: fleet::Index, cache: &member::Cache) {
         let known = self.servers.entry(server).or_default();
         let gap = known.next.is_some_and(|next| cache.first != next);
         let old = known.next.is_some_and(|next| cache.next < next);
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -58,7 +58,7 @@
     /// Time passed.
     Tick,
     /// Control's verdict on the claim.
-    Verdict(agree::Verdict),
+    ClaimResult(agree::Verdict),
     /// The router chose.
     Chosen(Target),
     /// The router found no place.
@@ -68,9 +68,9 @@
     /// The stream of this attempt failed or ended. Nothing more comes on it.
     Lost(id::Attempt),
     /// The caller went away.
-    Gone,
+    Disconnected,
     /// This entry ends before the answer.
-    Ending,
+    ShuttingDown,
 }
 
 /// What to do.
--- a/src/entry/request/decide.rs
+++ b/src/entry/request/decide.rs
@@ -95,13 +95,13 @@
         }
         match event {
             Event::Tick => self.tick(now, &mut out),
-            Event::Verdict(verdict) => self.verdict(verdict, &mut out),
+            Event::ClaimResult(verdict) => self.verdict(verdict, &mut out),
             Event::Chosen(target) => self.chosen(now, target, &mut out),
             Event::Unplaced(failure) => self.unplaced(failure, &mut out),
             Event::Reply(reply) => self.reply(now, reply, &mut out),
             Event::Lost(id) => self.lost(now, id, &mut out),
-            Event::Gone => self.give_up(Cause::Cancelled, "the caller went away", &mut out),
-            Event::Ending => {
+            Event::Disconnected => self.give_up(Cause::Cancelled, "the caller went away", &mut out),
+            Event::ShuttingDown => {
                 self.give_up(
                     Cause::Draining,
                     "this entry ends before the answer",
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -40,7 +40,7 @@
     /// A request wants a place.
     Place(Box<job::Job>),
     /// What became of the attempt of a request.
-    Note(id::Request, job::Note),
+    Feedback(id::Request, job::Feedback),
     /// The request has its final answer, and what it cost, if it ran to its end.
     Close(id::Request, Option<run::Usage>),
     /// A part of a model's prompt, in bytes and in tokens.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The request has a place.
-    Placed(id::Request, job::Place),
+    Placed(id::Request, job::Placement),
     /// The request gets no place.
     Unplaced(id::Request, outcome::Failure),
 }
@@ -155,7 +155,7 @@
     }
 
     /// Takes the suspects in force.
-    pub fn suspects(&mut self, list: &[agree::Suspect]) {
+    pub fn set_suspects(&mut self, list: &[agree::Suspect]) {
         self.suspects.set(list);
     }
 
@@ -193,8 +193,8 @@
                 self.dispatch(now, actions);
             }
             Event::Place(job) => self.place(now, *job, actions),
-            Event::Note(request, note) => {
-                self.note(now, request, note);
+            Event::Feedback(request, feedback) => {
+                self.feedback(now, request, feedback);
                 self.dispatch(now, actions);
             }
             Event::Close(request, usage) => {
@@ -220,51 +220,51 @@
             fleet::Change::Ignored => {}
             fleet::Change::Arrived(index) => {
                 self.prefix.forget(index);
-                self.prefix.news(index, &cache);
+                self.prefix.update(index, &cache);
             }
-            fleet::Change::Updated(index) => self.prefix.news(index, &cache),
+            fleet::Change::Updated(index) => self.prefix.update(index, &cache),
         }
     }
 
-    fn note(&mut self, now: Duration, request: id::Request, note: job::Note) {
-        let Some(server) = self.fleet.flight(request).map(|flight| flight.server) else {
+    fn feedback(&mut self, now: Duration, request: id::Request, feedback: job::Feedback) {
+        let Some(server) = self.fleet.attempt(request).map(|attempt| attempt.server) else {
             return;
         };
-        match note {
-            job::Note::Refused(_, load) => {
-                self.fleet.leave(request);
+        match feedback {
+            job::Feedback::Refused(_, load) => {
+                self.fleet.remove_attempt(request);
                 self.fleet.set_load(now, server, load);
                 if let Some(open) = self.open.get_mut(&request) {
                     open.refused = true;
                 }
             }
-            job::Note::First => {
-                self.fleet.first(now, request);
+            job::Feedback::FirstOutput => {
+                self.fleet.first_output(now, request);
             }
             // The attempt counts until the request gets its next place or ends.
-            job::Note::Failed(_) | job::Note::Lost => {}
+            job::Feedback::Failed(_) | job::Feedback::Lost => {}
         }
         let Some(server) = self.fleet.server_mut(server) else {
             return;
         };
-        match note {
-            job::Note::Refused(outcome::Cause::Busy | outcome::Cause::Memory, _) => {
+        match feedback {
+            job::Feedback::Refused(outcome::Cause::Busy | outcome::Cause::Memory, _) => {
                 server.breaker.refused(now);
             }
-            job::Note::Refused(..) => {}
-            job::Note::First => server.breaker.succeeded(),
-            job::Note::Failed(cause) if is_fault(cause) => server.breaker.failed(now),
-            job::Note::Failed(_) => {}
-            job::Note::Lost => server.breaker.failed(now),
+            job::Feedback::Refused(..) => {}
+            job::Feedback::FirstOutput => server.breaker.succeeded(),
+            job::Feedback::Failed(cause) if is_fault(cause) => server.breaker.failed(now),
+            job::Feedback::Failed(_) => {}
+            job::Feedback::Lost => server.breaker.failed(now),
         }
     }
 
     fn close(&mut self, request: id::Request, usage: Option<run::Usage>) {
         self.queue.remove(request);
-        self.release(request);
-        self.let_go(request);
+        self.release_hold(request);
+        self.release_gang(request);
         self.gangs.remove(&request);
-        self.fleet.leave(request);
+        self.fleet.remove_attempt(request);
         let Some(open) = self.open.remove(&request) else {
             return;
         };
@@ -280,14 +280,14 @@
     }
 
     /// Lets go of the server held for a request.
-    fn release(&mut self, request: id::Request) {
+    fn release_hold(&mut self, request: id::Request) {
         let Some(index) = self.holds.remove(&request) else {
             return;
         };
         if let Some(server) = self.fleet.server_mut(index)
-            && server.held.is_some_and(|(holder, _)| holder == request)
+            && server.held_for.is_some_and(|(holder, _)| holder == request)
         {
-            server.held = None;
+            server.held_for = None;
         }
     }
 }
--- a/src/entry/router/age.rs
+++ b/src/entry/router/age.rs
@@ -87,7 +87,7 @@
                 continue;
             };
             if let Some(server) = self.fleet.server_mut(index) {
-                server.held = Some((request, now));
+                server.held_for = Some((request, now));
                 self.holds.insert(request, index);
             }
         }
@@ -101,14 +101,16 @@
             let server = self.fleet.server(index)?;
             Some((index, server))
         });
-        let held = servers.clone().filter(|(_, server)| server.held.is_some());
+        let held = servers
+            .clone()
+            .filter(|(_, server)| server.held_for.is_some());
         if held.count() > list.len() / HELD {
             return None;
         }
         servers
-            .filter(|(_, server)| server.held.is_none() && server.is_open(now))
+            .filter(|(_, server)| server.held_for.is_none() && server.is_open(now))
             .filter(|(_, server)| server.serves(waiting.job.model.as_deref()))
-            .filter(|(_, server)| waiting.memory() <= server.last.load.memory_tokens)
+            .filter(|(_, server)| waiting.memory() <= server.announced.load.memory_tokens)
             .min_by_key(|(_, server)| (server.has_long(), server.used_tokens()))
             .map(|(index, _)| index)
     }
--- a/src/entry/router/dispatch.rs
+++ b/src/entry/router/dispatch.rs
@@ -124,7 +124,7 @@
             };
             self.open.insert(request, open);
         }
-        self.fleet.leave(request);
+        self.fleet.remove_attempt(request);
         let open = self.open.get_mut(&request)?;
         let unpaid = job.retry && !open.refused;
         Some(queue::Waiting {
@@ -151,7 +151,9 @@
             // A guess is no reason to call a prompt too long.
             let list = self.fleet.service(&job.service).iter();
             let servers = list.filter_map(|&index| self.fleet.server(index));
-            let most = servers.map(|server| server.last.load.memory_tokens).max();
+            let most = servers
+                .map(|server| server.announced.load.memory_tokens)
+                .max();
             let most = most.unwrap_or(u64::MAX);
             prompt = prompt.min(most.saturating_sub(u64::from(job.max_tokens)).max(1));
         }
@@ -175,7 +177,7 @@
             {
                 rate += server.rate();
                 fastest = fastest.max(server.rate());
-                token_micros = token_micros.min(server.last.load.token_micros);
+                token_micros = token_micros.min(server.announced.load.token_micros);
             }
         }
         if rate == 0 || waiting.job.model.is_none() {
@@ -230,7 +232,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.queue.remove(request);
-        self.release(request);
+        self.release_hold(request);
         actions.push(Action::Unplaced(request, failure));
     }
 
@@ -283,8 +285,8 @@
     }
 
     fn choose(&mut self, now: Duration, waiting: &queue::Waiting) -> choice::Choice {
-        let over = self.is_over(now, waiting);
-        let band = run::Class::at(self.priority(now, waiting));
+        let over_share = self.is_over(now, waiting);
+        let priority_class = run::Class::at(self.priority(now, waiting));
         let cached = self.cached(waiting);
         let view = choice::View {
             now,
@@ -294,9 +296,9 @@
             suspects: &self.suspects,
             cached: &cached,
             started: self.started.unwrap_or(now),
-            over,
-            band,
-            long_lately: self.long.is_some_and(|at| now < at + LONG_LATELY),
+            over_share,
+            priority_class,
+            long_recent: self.long.is_some_and(|at| now < at + LONG_LATELY),
         };
         view.choose(waiting, self.turn, &mut self.rng)
     }
@@ -316,7 +318,7 @@
         found
             .drain()
             .map(|(index, held)| {
-                let bytes = (held * prefix::BLOCK) as u64;
+                let bytes = (held * prefix::BLOCK_BYTES) as u64;
                 (index, waiting.prompt_tokens * bytes / body_len)
             })
             .collect()
@@ -332,24 +334,24 @@
         actions: &mut Vec<Action>,
     ) {
         let request = waiting.job.request;
-        self.release(request);
+        self.release_hold(request);
         let priority = self.priority(now, waiting);
         let Some(server) = self.fleet.server_mut(index) else {
             return;
         };
         server.breaker.placed(now);
         let target = server.target();
-        let flight = fleet::Flight {
+        let attempt = fleet::Attempt {
             server: index,
             class: waiting.class,
-            band: run::Class::at(priority),
+            priority_class: run::Class::at(priority),
             uncached,
             memory: waiting.memory(),
             suspect: self.suspects.has(waiting.job.fingerprint),
             placed: now,
-            first: false,
+            prefilled: false,
         };
-        self.fleet.enter(request, flight);
+        self.fleet.add_attempt(request, attempt);
         self.prefix.learn(index, &waiting.job.blocks);
         let workspace = &waiting.job.workspace;
         // Work of another class may overtake; virtual time is that of the last in line.
@@ -369,7 +371,7 @@
         if let Some(open) = self.open.get_mut(&request) {
             open.refused = false;
         }
-        let place = job::Place {
+        let place = job::Placement {
             target,
             prompt_tokens: waiting.prompt_tokens,
             class: waiting.class,
--- a/src/entry/router/gang.rs
+++ b/src/entry/router/gang.rs
@@ -41,24 +41,24 @@
         }
         let candidates: Vec<plan::Candidate> = open.iter().map(|(_, c)| c.clone()).collect();
         let verdict = plan::choose(&candidates, tokens, job.max_tokens, is_guess);
-        self.let_go(job.request);
+        self.release_gang(job.request);
         let plan = match verdict {
-            plan::Verdict::Now(shares) if self.pay(now, waiting) => {
+            plan::Decision::Now(shares) if self.pay(now, waiting) => {
                 self.charge(now, waiting, tokens);
                 plan::Plan::Members(shares)
             }
-            plan::Verdict::Now(_) => plan::Plan::Wait,
-            plan::Verdict::Later(servers) => {
+            plan::Decision::Now(_) => plan::Plan::Wait,
+            plan::Decision::Later(servers) => {
                 self.hold_all(now, waiting, &servers);
                 plan::Plan::Wait
             }
             // Some may come back.
-            plan::Verdict::Never if job.retry => plan::Plan::Wait,
-            plan::Verdict::Never => {
+            plan::Decision::Never if job.retry => plan::Plan::Wait,
+            plan::Decision::Never => {
                 return Some(Self::too_large(job.request, tokens, largest));
             }
         };
-        let place = job::Place {
+        let place = job::Placement {
             target: candidates[0].target.clone(),
             prompt_tokens: tokens,
             class: waiting.class,
@@ -73,7 +73,9 @@
         let list = self.fleet.service(&waiting.job.service).iter();
         let servers = list.filter_map(|&index| self.fleet.server(index));
         let open = servers.filter(|s| s.is_open(now) && s.serves(waiting.job.model.as_deref()));
-        open.map(|s| s.last.load.memory_tokens).max().unwrap_or(0)
+        open.map(|s| s.announced.load.memory_tokens)
+            .max()
+            .unwrap_or(0)
     }
 
     /// The engines that could be members.
@@ -91,7 +93,7 @@
             if !server.is_open(now) || !server.serves(job.model.as_deref()) {
                 return None;
             }
-            let load = &server.last.load;
+            let load = &server.announced.load;
             let memory = room::long_memory(load.memory_tokens);
             let is_kept = self.gangs.iter().any(|(request, other)| {
                 let age = (other.since, *request);
@@ -107,8 +109,10 @@
                     0
                 },
                 ahead: server.ahead(now, waiting.class),
-                avoid: job.avoid.contains(&server.last.server)
-                    || self.suspects.killed(job.fingerprint, &server.last.server),
+                avoid: job.avoid.contains(&server.announced.server)
+                    || self
+                        .suspects
+                        .killed(job.fingerprint, &server.announced.server),
             };
             Some((index, candidate))
         });
@@ -164,24 +168,24 @@
             .collect();
         for &index in &indices {
             if let Some(server) = self.fleet.server_mut(index)
-                && server.held.is_none()
+                && server.held_for.is_none()
             {
-                server.held = Some((request, now));
+                server.held_for = Some((request, now));
             }
         }
         self.known(waiting).held = indices;
     }
 
     /// Lets go of the servers held for a gang.
-    pub(super) fn let_go(&mut self, request: id::Request) {
+    pub(super) fn release_gang(&mut self, request: id::Request) {
         let Some(gang) = self.gangs.get_mut(&request) else {
             return;
         };
         for index in std::mem::take(&mut gang.held) {
             if let Some(server) = self.fleet.server_mut(index)
-                && server.held.is_some_and(|(holder, _)| holder == request)
+                && server.held_for.is_some_and(|(holder, _)| holder == request)
             {
-                server.held = None;
+                server.held_for = None;
             }
         }
     }
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -62,8 +62,8 @@
         self.step(router::Event::Place(Box::new(job)))
     }
 
-    pub fn note(&mut self, number: u128, note: job::Note) -> Vec<router::Action> {
-        self.step(router::Event::Note(fleet::id(number), note))
+    pub fn note(&mut self, number: u128, note: job::Feedback) -> Vec<router::Action> {
+        self.step(router::Event::Feedback(fleet::id(number), note))
     }
 
     pub fn close(&mut self, number: u128) -> Vec<router::Action> {
--- a/tests/common/model.rs
+++ b/tests/common/model.rs
@@ -101,7 +101,7 @@
     reports: VecDeque<(u64, member::Announce)>,
     report_at: u64,
     now: u64,
-    offers: Vec<(usize, job::Place)>,
+    offers: Vec<(usize, job::Placement)>,
 }
 
 fn engine(settings: &Settings) -> Engine {
@@ -240,17 +240,17 @@
                 continue;
             }
             let load = self.load(number);
-            let note = job::Note::Refused(outcome::Cause::Busy, load);
+            let note = job::Feedback::Refused(outcome::Cause::Busy, load);
             let router = self.router_of(request);
             let id = id::Request(request as u128);
-            self.tell(router, router::Event::Note(id, note));
+            self.tell(router, router::Event::Feedback(id, note));
             let job = self.job(request, vec![place.target.server.clone()]);
             self.tell(router, router::Event::Place(Box::new(job)));
         }
     }
 
     /// As a sidecar admits: exact slots and memory, some of each kept for short requests.
-    fn offer(&mut self, request: usize, number: usize, place: &job::Place) -> bool {
+    fn offer(&mut self, request: usize, number: usize, place: &job::Placement) -> bool {
         let load = self.load(number);
         let arrival = &self.arrivals[request];
         let memory = arrival.tokens + u64::from(arrival.output);
@@ -341,7 +341,10 @@
             let router = self.router_of(request);
             let Some(end) = end else {
                 self.fates[request].first = Some(self.time());
-                self.tell(router, router::Event::Note(id, job::Note::First));
+                self.tell(
+                    router,
+                    router::Event::Feedback(id, job::Feedback::FirstOutput),
+                );
                 continue;
             };
             let usage = (end == scheduler::End::Length).then(|| run::Usage {
--- a/tests/gang_matrix.rs
+++ b/tests/gang_matrix.rs
@@ -95,7 +95,7 @@
                 world.callers[0].alive = false;
                 world.lose(world::HOP, |_, caller| caller == 0);
             }
-            Self::CallerGone => world.request(0, request::Event::Gone),
+            Self::CallerGone => world.request(0, request::Event::Disconnected),
             Self::Late => world.late = ms(700),
             Self::Twice => world.twice = true,
         }
--- a/tests/gang_matrix/world.rs
+++ b/tests/gang_matrix/world.rs
@@ -163,7 +163,7 @@
                 workspace: "w".to_owned(),
                 fingerprint: id::Fingerprint([number as u8; 16]),
                 plain: false,
-                body_len: plan::TAIL as u64,
+                body_len: plan::TAIL_BYTES as u64,
                 repeatable,
                 key: None,
                 deadline,
--- a/tests/gang_matrix/world/callers.rs
+++ b/tests/gang_matrix/world/callers.rs
@@ -43,8 +43,8 @@
             }
         }
         let plan = match plan::choose(&candidates, BODY as u64, MAX_TOKENS, false) {
-            plan::Verdict::Now(shares) => plan::Plan::Members(shares),
-            plan::Verdict::Later(_) | plan::Verdict::Never => plan::Plan::Wait,
+            plan::Decision::Now(shares) => plan::Plan::Members(shares),
+            plan::Decision::Later(_) | plan::Decision::Never => plan::Plan::Wait,
         };
         self.gang(caller, gang::Event::Planned(plan));
     }
@@ -65,17 +65,17 @@
             Action::Offer {
                 target,
                 attempt,
-                part,
+                segment,
                 tokens,
-                room,
+                final_tokens,
             } => {
                 let work = run::Work::Segment {
                     model: "m".to_owned(),
                     prompt_tokens: tokens,
-                    room,
+                    room: final_tokens,
                 };
-                let call = self.offer(caller, &target, attempt, false, true, part.len(), work);
-                let body = self.callers[caller].body.slice(part);
+                let call = self.offer(caller, &target, attempt, false, true, segment.len(), work);
+                let body = self.callers[caller].body.slice(segment);
                 self.open(caller, &target, attempt, vec![call, run::Call::Body(body)]);
             }
             Action::Hold(attempt, context) => {
@@ -93,7 +93,7 @@
                 self.callers[caller].ready = Some((target.clone(), context, tail));
                 self.request(caller, request::Event::Chosen(target));
             }
-            Action::Broken(mut failure) => {
+            Action::StopRun(mut failure) => {
                 let mine = &self.callers[caller];
                 let (Some(attempt), Some((target, ..))) = (mine.current, mine.ready.clone()) else {
                     return;
@@ -126,7 +126,7 @@
                     self.callers[caller].ready = None;
                     self.callers[caller].sent = false;
                     if std::mem::replace(&mut self.callers[caller].begun, true) {
-                        self.gang(caller, gang::Event::Again);
+                        self.gang(caller, gang::Event::Restart);
                     } else {
                         self.put(HOP, Msg::Planned(caller));
                     }
--- a/tests/prefix_affinity.rs
+++ b/tests/prefix_affinity.rs
@@ -28,10 +28,10 @@
     assert_eq!(blocks.len(), 2);
     let modulus = (1u128 << 61) - 1;
     let mut hash = 0u128;
-    for (index, byte) in text.iter().take(2 * prefix::BLOCK).enumerate() {
+    for (index, byte) in text.iter().take(2 * prefix::BLOCK_BYTES).enumerate() {
         hash = (hash * 1_000_003 + u128::from(*byte) + 1) % modulus;
-        if (index + 1) % prefix::BLOCK == 0 {
-            assert_eq!(u128::from(blocks[index / prefix::BLOCK]), hash);
+        if (index + 1) % prefix::BLOCK_BYTES == 0 {
+            assert_eq!(u128::from(blocks[index / prefix::BLOCK_BYTES]), hash);
         }
     }
 }
@@ -39,21 +39,21 @@
 #[test]
 fn longest_prefix() {
     let mut prefix = prefix::Prefix::default();
-    prefix.news(1, &news(0, &[10, 11, 12], &[]));
-    prefix.news(2, &news(0, &[10], &[]));
-    prefix.news(3, &news(0, &[11, 12], &[]));
+    prefix.update(1, &news(0, &[10, 11, 12], &[]));
+    prefix.update(2, &news(0, &[10], &[]));
+    prefix.update(3, &news(0, &[11, 12], &[]));
     let holders = prefix.holders(&[10, 11, 12, 13]);
     assert_eq!(holders, HashMap::from([(1, 3), (2, 1)]));
-    prefix.news(1, &news(3, &[], &[12]));
+    prefix.update(1, &news(3, &[], &[12]));
     assert_eq!(prefix.holders(&[10, 11, 12])[&1], 2);
 }
 
 #[test]
 fn lost_news() {
     let mut prefix = prefix::Prefix::default();
-    prefix.news(1, &news(0, &[10, 11], &[]));
-    prefix.news(2, &news(0, &[10], &[]));
-    prefix.news(1, &news(7, &[20], &[]));
+    prefix.update(1, &news(0, &[10, 11], &[]));
+    prefix.update(2, &news(0, &[10], &[]));
+    prefix.update(1, &news(7, &[20], &[]));
     assert_eq!(prefix.holders(&[10, 11]), HashMap::from([(2, 1)]));
     assert_eq!(prefix.holders(&[20]), HashMap::from([(1, 1)]));
     prefix.forget(2);
@@ -84,7 +84,7 @@
         for (_, server) in harness::placed(&harness.place(job)) {
             *servers.entry(server).or_default() += 1;
         }
-        harness.note(number, wigeonbarrow::entry::job::Note::First);
+        harness.note(number, wigeonbarrow::entry::job::Feedback::FirstOutput);
         harness.close(number);
     }
     assert!(
--- a/tests/request_matrix/strikes.rs
+++ b/tests/request_matrix/strikes.rs
@@ -94,7 +94,7 @@
             }
             Fault::CallerGone => {
                 for caller in self.of(entry) {
-                    self.event(caller, Event::Gone);
+                    self.event(caller, Event::Disconnected);
                 }
             }
             Fault::Leave => {
--- a/tests/request_matrix/world.rs
+++ b/tests/request_matrix/world.rs
@@ -352,7 +352,7 @@
                     _ => {}
                 }
             }
-            Msg::Verdict(caller, verdict) => self.event(caller, Event::Verdict(verdict)),
+            Msg::Verdict(caller, verdict) => self.event(caller, Event::ClaimResult(verdict)),
             Msg::ToBackend(server, life, http) => self.backend_call(server, life, http),
             Msg::Line(server, life, attempt, conn, part) => {
                 if self.sidecars[server].life == life {
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -43,14 +43,14 @@
     harness.announce();
     let doomed: Vec<u128> = (0..300)
         .filter(|&number| {
-            let flight = harness.router.fleet().flight(fleet::id(number)).unwrap();
-            flight.server < 10
+            let attempt = harness.router.fleet().attempt(fleet::id(number)).unwrap();
+            attempt.server < 10
         })
         .collect();
     assert!(doomed.len() > 80, "{}", doomed.len());
     harness.servers.drain(..10);
     for &number in &doomed {
-        harness.note(number, job::Note::Lost);
+        harness.note(number, job::Feedback::Lost);
         let mut job = fleet::job(number, 400);
         job.retry = true;
         job.avoid = vec!["s00".to_owned()];
@@ -86,7 +86,7 @@
             prefill_rate: fleet::RATE,
             ..member::Load::default()
         };
-        harness.note(1, job::Note::Refused(outcome::Cause::Busy, load));
+        harness.note(1, job::Feedback::Refused(outcome::Cause::Busy, load));
         let mut job = fleet::job(1, 400);
         job.retry = true;
         let actions = harness.place(job);
--- a/tests/router_choice.rs
+++ b/tests/router_choice.rs
@@ -63,10 +63,10 @@
     });
     router.step(
         NOW,
-        router::Event::Note(fleet::id(1), job::Note::First),
+        router::Event::Feedback(fleet::id(1), job::Feedback::FirstOutput),
         &mut actions,
     );
     router.step(NOW, router::Event::Close(fleet::id(1), None), &mut actions);
     let index = router.fleet().index("s2").unwrap();
-    assert_eq!(router.fleet().server(index).unwrap().mine, 0);
+    assert_eq!(router.fleet().server(index).unwrap().own_attempts, 0);
 }
--- a/tests/server_breaker.rs
+++ b/tests/server_breaker.rs
@@ -41,7 +41,7 @@
 #[test]
 fn failing_server() {
     let mut harness = Harness::new(2);
-    let failed = job::Note::Failed(outcome::Cause::ServerError);
+    let failed = job::Feedback::Failed(outcome::Cause::ServerError);
     let mut failures = 0;
     for number in 0..40 {
         let server = harness::server(&harness.place(fleet::job(number, 400))).unwrap();
@@ -49,7 +49,7 @@
             failures += 1;
             harness.note(number, failed);
         } else {
-            harness.note(number, job::Note::First);
+            harness.note(number, job::Feedback::FirstOutput);
         }
         harness.close(number);
     }
@@ -73,7 +73,7 @@
     let mut harness = Harness::new(1);
     for number in 0..20 {
         assert!(harness::server(&harness.place(fleet::job(number, 400))).is_some());
-        harness.note(number, job::Note::Failed(outcome::Cause::Deadline));
+        harness.note(number, job::Feedback::Failed(outcome::Cause::Deadline));
         harness.close(number);
     }
 }
--- a/tests/starvation_bound.rs
+++ b/tests/starvation_bound.rs
@@ -57,7 +57,7 @@
     harness.calibrate();
     for number in 1..=4 {
         harness.place(fleet::job(number, 4 * 50_000));
-        harness.note(number, wigeonbarrow::entry::job::Note::First);
+        harness.note(number, wigeonbarrow::entry::job::Feedback::FirstOutput);
     }
     assert!(
         harness.place(fleet::job(100, 4 * 300_000)).is_empty(),
@@ -70,7 +70,7 @@
             .router
             .fleet()
             .server(0)
-            .map_or(0, |server| server.mine);
+            .map_or(0, |server| server.own_attempts);
         harness.servers[0].load.running = live;
         harness.servers[0].load.used_tokens = 50_100 * u64::from(live);
         let mut actions = harness.announce();
--- a/tests/suspect_spread.rs
+++ b/tests/suspect_spread.rs
@@ -29,7 +29,7 @@
     let mut entries = [Harness::new(12), Harness::new(12)];
     let mut taken = HashSet::new();
     for (index, harness) in entries.iter_mut().enumerate() {
-        harness.router.suspects(&suspects);
+        harness.router.set_suspects(&suspects);
         for number in 1..=3 {
             let job = fleet::job(3 * index as u128 + number, 4_000);
             let server = harness::server(&harness.place(job)).unwrap();
@@ -43,7 +43,7 @@
 fn more_than_servers() {
     let suspects: Vec<agree::Suspect> = (1..=6).map(|n| suspect(n, &["gone"])).collect();
     let mut harness = Harness::new(2);
-    harness.router.suspects(&suspects);
+    harness.router.set_suspects(&suspects);
     let mut placed = 0;
     for number in 1..=6 {
         placed += harness::placed(&harness.place(fleet::job(number, 4_000))).len();
@@ -64,7 +64,7 @@
 #[test]
 fn quarantined_request() {
     let mut harness = Harness::new(4);
-    harness.router.suspects(&[suspect(1, &["s00", "s01"])]);
+    harness.router.set_suspects(&[suspect(1, &["s00", "s01"])]);
     let actions = harness.place(fleet::job(1, 4_000));
     assert_eq!(harness::causes(&actions), [outcome::Cause::Quarantined]);
     let router::Action::Unplaced(_, failure) = &actions[0] else {
@@ -79,11 +79,11 @@
     let mut harness = Harness::new(1);
     harness
         .router
-        .suspects(&[suspect(1, &["s00"]), suspect(2, &["gone"])]);
+        .set_suspects(&[suspect(1, &["s00"]), suspect(2, &["gone"])]);
     assert!(harness.place(fleet::job(1, 4_000)).is_empty(), "it waits");
     harness
         .router
-        .suspects(&[suspect(1, &["s00", "s01"]), suspect(2, &["gone"])]);
+        .set_suspects(&[suspect(1, &["s00", "s01"]), suspect(2, &["gone"])]);
     let actions = harness.pass(1_000);
     assert_eq!(harness::causes(&actions), [outcome::Cause::Quarantined]);
     assert_eq!(harness.router.waiting(), 0);
