--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -377,7 +377,7 @@
                 self.server_died(context.fingerprint, &server.life);
             }
             retry::Failure::Broken => {
-                self.check_after_disconnect(context.fingerprint, server.clone())
+                self.check_after_disconnect(context.fingerprint, server.clone());
             }
             retry::Failure::Slow | retry::Failure::Failed => {
                 self.state()
@@ -385,7 +385,7 @@
                     .record_response(now, &server.life, false);
             }
             retry::Failure::NotRun { at_fault, .. } => {
-                self.pause_helper(server, at_fault.as_deref())
+                self.pause_helper(server, at_fault.as_deref());
             }
             retry::Failure::Away
             | retry::Failure::Limited(_)
