--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -20,11 +20,11 @@
 use super::reserve;
 use super::stream;
 use crate::direct::catalog;
-use crate::direct::patience;
+use crate::direct::deadline;
 use crate::direct::quota;
 use crate::direct::register;
+use crate::direct::retry;
 use crate::direct::tally;
-use crate::direct::verdict;
 use crate::edge::event::Event;
 use crate::log_event;
 
@@ -69,13 +69,13 @@
 /// A failed attempt, with what can be passed on if no other follows.
 pub struct Failure {
     /// How the attempt ended.
-    pub end: verdict::End,
+    pub end: retry::Failure,
     /// The error response of the server.
     pub response: Option<Complete>,
 }
 
-impl From<verdict::End> for Failure {
-    fn from(end: verdict::End) -> Self {
+impl From<retry::Failure> for Failure {
+    fn from(end: retry::Failure) -> Self {
         Self {
             end,
             response: None,
@@ -110,7 +110,9 @@
             context.failed_servers.push(server.life);
         } else {
             let now = self.node.now();
-            self.state().healths.answered(now, &server.life, true);
+            self.state()
+                .healths
+                .record_response(now, &server.life, true);
         }
         outcome
     }
@@ -126,7 +128,7 @@
     ) -> impl Future<Output = ()> + use<> {
         let is_sized = context.engine.is_some() && context.request.size.is_some();
         let may_repeat = is_sized && context.route.repeatable() && after.is_none();
-        let first = Instant::now() + patience::millis(first_ms).min(context.time_left());
+        let first = Instant::now() + deadline::millis(first_ms).min(context.time_left());
         // The prompt is being read already. The mean cancels the request only if a cut is more
         // likely than an answer.
         let writing = context.mean_write_time(&self.state().writing);
@@ -135,10 +137,13 @@
             if !may_repeat {
                 return std::future::pending().await;
             }
-            lifetime.ending().await;
+            lifetime.stopping().await;
             loop {
                 let first = first.saturating_duration_since(Instant::now());
-                if lifetime.left().is_some_and(|left| left < first + writing) {
+                if lifetime
+                    .remaining()
+                    .is_some_and(|left| left < first + writing)
+                {
                     return;
                 }
                 time::sleep(EXIT_POLL).await;
@@ -159,7 +164,7 @@
         progress.reach(progress::Stage::Connecting);
         let may_reuse = context.route.repeatable() || REUSE_FOR_UNSAFE;
         let conn = self.pool.conn(&server.life, server.addr, may_reuse).await;
-        let mut conn = conn.map_err(|_| verdict::End::Unsent)?;
+        let mut conn = conn.map_err(|_| retry::Failure::Unsent)?;
         let request = self.build_request(context, &assignment, memory.as_ref(), after);
         let timeouts = silence_timeouts(context, assignment.first_ms);
         progress.reach(progress::Stage::Sent);
@@ -170,15 +175,15 @@
             tokio::select! {
                 sent = &mut sending => sent,
                 why = self.abandoned(context, &server, timeouts) => match why {
-                    Some(why) => Err(pool::Lost::Sent(why.to_owned())),
+                    Some(why) => Err(pool::Failure::Sent(why.to_owned())),
                     None => sending.await,
                 },
             }
         };
         let response = match sent {
             Ok(response) => response,
-            Err(pool::Lost::Unsent(_)) => return Err(verdict::End::Unsent.into()),
-            Err(pool::Lost::Sent(why)) => {
+            Err(pool::Failure::Unsent(_)) => return Err(retry::Failure::Unsent.into()),
+            Err(pool::Failure::Sent(why)) => {
                 context.history.ran += 1;
                 return Err(end_of_lost(&why).into());
             }
@@ -203,7 +208,7 @@
         self: &Arc<Self>,
         context: &Context,
         assignment: &Assignment,
-    ) -> Result<Option<reserve::Reservation>, verdict::End> {
+    ) -> Result<Option<reserve::Reservation>, retry::Failure> {
         let wanted = assignment.helpers.iter().zip(&assignment.reserved_tokens);
         let wanted = wanted.filter(|(_, tokens)| **tokens > 0);
         let wanted: Vec<reserve::Wanted> = wanted
@@ -218,7 +223,7 @@
         let name = format!("{}-{}", context.request.id, context.history.tried);
         let memory = reserve::Reservation::take(self, &name, wanted).await;
         // Another request may have taken the memory meanwhile. Nothing was sent in that case.
-        memory.map(Some).ok_or(verdict::End::NotRun {
+        memory.map(Some).ok_or(retry::Failure::NotRun {
             at_fault: None,
             displaced: false,
         })
@@ -264,14 +269,14 @@
         resources: (pool::Conn, Option<reserve::Reservation>),
         head: response::Parts,
         body: body::Incoming,
-        timeouts: patience::Doubt,
+        timeouts: deadline::Silence,
     ) -> Result<Response, Failure> {
         let answer = self.dialect.response(&head);
         if answer.not_run || answer.displaced {
             if answer.displaced && answer.at_fault.is_none() {
-                self.displaced(&assignment.server.life);
+                self.server_displaced(&assignment.server.life);
             }
-            return Err(verdict::End::NotRun {
+            return Err(retry::Failure::NotRun {
                 at_fault: answer.at_fault,
                 displaced: answer.displaced,
             }
@@ -284,7 +289,7 @@
             .is_some_and(|id| id != context.request.id);
         let success = head.status.is_success();
         if is_other || answer.encoded || (success && !answer.sealed) {
-            return Err(verdict::End::Broken.into());
+            return Err(retry::Failure::Broken.into());
         }
         let is_stream = context.route.kind == catalog::Kind::Stream && success;
         let mut reader = stream::Reader::new(self, assignment, resources, body, &answer);
@@ -292,10 +297,10 @@
             let collected = reader
                 .collect(MAX_RESPONSE_BYTES, context.time_left())
                 .await;
-            let body = collected.ok_or(verdict::End::Broken)?;
+            let body = collected.ok_or(retry::Failure::Broken)?;
             let complete = Complete { head, body };
             return if complete.head.status.is_server_error() {
-                let end = verdict::End::Failed;
+                let end = retry::Failure::Failed;
                 let response = Some(complete);
                 Err(Failure { end, response })
             } else {
@@ -304,11 +309,15 @@
         }
         let next = loop {
             let may_leave = || self.may_move(context);
-            let got = time::timeout(timeouts.hung, reader.next(timeouts.quiet, may_leave)).await;
+            let got = time::timeout(
+                timeouts.move_after,
+                reader.next(timeouts.probe_after, may_leave),
+            )
+            .await;
             match got {
                 Ok(next) => break next,
                 Err(_) if self.should_move(context, &reader.server.life) => {
-                    return Err(verdict::End::Slow.into());
+                    return Err(retry::Failure::Slow.into());
                 }
                 Err(_) => {}
             }
@@ -333,26 +342,26 @@
         &self,
         context: &Context,
         server: &register::Record,
-        timeouts: patience::Doubt,
+        timeouts: deadline::Silence,
     ) -> Option<&'static str> {
         let hung = async {
             loop {
-                time::sleep(timeouts.hung).await;
+                time::sleep(timeouts.move_after).await;
                 if self.has_better_server(context, &server.life) {
                     return;
                 }
             }
         };
         let why = tokio::select! {
-            () = self.dead(server, timeouts.quiet) => SILENT,
+            () = self.until_unresponsive(server, timeouts.probe_after) => SILENT,
             () = hung => HUNG,
         };
         // The request was sent, so this attempt may have run.
         let mut history = context.history;
         history.ran += 1;
-        let may = verdict::again(
+        let may = retry::is_allowed(
             &context.route,
-            &verdict::End::Slow,
+            &retry::Failure::Slow,
             history,
             context.time_left(),
         );
@@ -364,44 +373,50 @@
         self: &Arc<Self>,
         context: &Context,
         server: &register::Record,
-        end: &verdict::End,
+        end: &retry::Failure,
     ) {
         let now = self.node.now();
-        self.counts.attempt(&context.service, end_name(end));
-        if self.lines.allow(Event::AttemptEnded, now) {
+        self.counts.attempt_failed(&context.service, end_name(end));
+        if self.log_limiter.allow(Event::AttemptEnded, now) {
             log_event!(self.node.log(), Event::AttemptEnded, "request" => &context.request.id,
                 "server" => &server.life, "end" => format!("{end:?}"), "ran" => context.history.ran,
                 "tried" => context.history.tried, "left_ms" => context.time_left().as_millis() as u64);
         }
-        if verdict::suspects(&context.route, end) {
-            self.suspect(&server.life);
+        if retry::suspects_server(&context.route, end) {
+            self.pause_server_everywhere(&server.life);
         }
         match end {
-            verdict::End::Unsent => self.missed(&server.life, "no connection"),
-            verdict::End::Silent => {
-                self.missed(&server.life, "silent");
-                self.died(context.fingerprint, &server.life);
+            retry::Failure::Unsent => self.pause_server(&server.life, "no connection"),
+            retry::Failure::Silent => {
+                self.pause_server(&server.life, "silent");
+                self.server_died(context.fingerprint, &server.life);
             }
-            verdict::End::Broken => self.look_after(context.fingerprint, server.clone()),
-            verdict::End::Slow | verdict::End::Failed => {
-                self.state().healths.answered(now, &server.life, false);
+            retry::Failure::Broken => {
+                self.check_after_disconnect(context.fingerprint, server.clone());
             }
-            verdict::End::NotRun { at_fault, .. } => self.blame(server, at_fault.as_deref()),
-            verdict::End::Away
-            | verdict::End::Limited(_)
-            | verdict::End::Late
-            | verdict::End::Ending => {}
+            retry::Failure::Slow | retry::Failure::Failed => {
+                self.state()
+                    .healths
+                    .record_response(now, &server.life, false);
+            }
+            retry::Failure::NotRun { at_fault, .. } => {
+                self.pause_helper(server, at_fault.as_deref());
+            }
+            retry::Failure::Away
+            | retry::Failure::Limited(_)
+            | retry::Failure::Late
+            | retry::Failure::Ending => {}
         }
     }
 }
 
 /// How long the server may be silent before an attempt probes it or leaves it.
-fn silence_timeouts(context: &Context, first_ms: f64) -> patience::Doubt {
+fn silence_timeouts(context: &Context, first_ms: f64) -> deadline::Silence {
     let alone = context.engine.zip(context.request.size);
     let alone_ms = alone.map_or(0.0, |(engine, size)| engine.read_ms(size.prompt, 1));
     let can_move =
-        context.route.repeatable() && context.history.ran + 1 < context.route.most_servers.max(1);
-    patience::Doubt::new(
+        context.route.repeatable() && context.history.ran + 1 < context.route.max_servers.max(1);
+    deadline::Silence::new(
         &context.route,
         can_move,
         (first_ms, alone_ms),
@@ -410,26 +425,26 @@
 }
 
 /// How an attempt ended that was sent and got no response.
-fn end_of_lost(why: &str) -> verdict::End {
+fn end_of_lost(why: &str) -> retry::Failure {
     match why {
-        SILENT => verdict::End::Silent,
-        HUNG => verdict::End::Slow,
-        _ => verdict::End::Broken,
+        SILENT => retry::Failure::Silent,
+        HUNG => retry::Failure::Slow,
+        _ => retry::Failure::Broken,
     }
 }
 
-fn end_name(end: &verdict::End) -> &'static str {
+fn end_name(end: &retry::Failure) -> &'static str {
     match end {
-        verdict::End::Away => "away",
-        verdict::End::Limited(_) => "limited",
-        verdict::End::Unsent => "unsent",
-        verdict::End::NotRun { .. } => "not_run",
-        verdict::End::Broken => "broken",
-        verdict::End::Silent => "silent",
-        verdict::End::Slow => "slow",
-        verdict::End::Failed => "failed",
-        verdict::End::Late => "late",
-        verdict::End::Ending => "ending",
+        retry::Failure::Away => "away",
+        retry::Failure::Limited(_) => "limited",
+        retry::Failure::Unsent => "unsent",
+        retry::Failure::NotRun { .. } => "not_run",
+        retry::Failure::Broken => "broken",
+        retry::Failure::Silent => "silent",
+        retry::Failure::Slow => "slow",
+        retry::Failure::Failed => "failed",
+        retry::Failure::Late => "late",
+        retry::Failure::Ending => "ending",
     }
 }
 
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -9,18 +9,18 @@
 
 use super::Direct;
 use super::context::Context;
+use super::eligibility;
 use super::grant::Reason;
 use super::progress;
-use super::standing;
 use super::turn;
-use crate::direct::board;
-use crate::direct::patience;
+use crate::direct::deadline;
+use crate::direct::load;
 use crate::direct::place;
-use crate::direct::place::lone;
+use crate::direct::place::single;
 use crate::direct::quota;
 use crate::direct::register;
+use crate::direct::retry;
 use crate::direct::subset;
-use crate::direct::verdict;
 use crate::edge::event::Event;
 use crate::log_event;
 
@@ -58,13 +58,13 @@
 /// The load of one request as accounted for by this entry. Dropping it removes the load.
 pub struct Guard {
     direct: Arc<Direct>,
-    ticket: board::Ticket,
+    ticket: load::Ticket,
 }
 
 impl Guard {
     /// Records that the first event arrived: the prompt is read, the response is being generated.
     pub fn start_writing(&self) {
-        self.direct.state().board.wrote(self.ticket);
+        self.direct.state().board.start_writing(self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -72,7 +72,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         let now = self.direct.node.now();
-        self.direct.state().board.leave(now, self.ticket);
+        self.direct.state().board.remove(now, self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -96,12 +96,13 @@
     fn choose(self: &Arc<Self>, context: &Context, reading: Reading) -> Choice {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { records, part } = standing::candidates(&state, now, context);
+        let eligibility::Candidates { records, part } =
+            eligibility::candidates(&state, now, context);
         if records.is_empty() {
             return Choice::NoServer;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.any_waits(now);
+        let any_waits = state.board.has_waiting(now);
         let placed = match reading {
             Reading::InTurn => find(context, &servers, any_waits),
             Reading::WithoutTurn => find_without_turn(context, &servers, any_waits),
@@ -138,59 +139,59 @@
     ) -> Assignment {
         let now = self.node.now();
         let prompt = context.request.size.map_or(0, |size| size.prompt);
-        let part = |(at, memory): (usize, u64)| board::Part {
+        let part = |(at, memory): (usize, u64)| load::Segment {
             server: servers[at].key,
-            read_ms: place.part_ms,
+            read_ms: place.segment_ms,
             memory,
         };
-        let aside: u64 = place.aside.iter().sum();
+        let aside: u64 = place.reserved.iter().sum();
         let own = (prompt + context.expected_answer()).saturating_sub(aside);
         let helpers = place
             .helpers
             .iter()
             .copied()
-            .zip(place.aside.iter().copied());
-        let chosen = std::iter::once((place.first, own)).chain(helpers);
-        let claim = board::Claim {
-            parts: chosen.map(part).collect(),
+            .zip(place.reserved.iter().copied());
+        let chosen = std::iter::once((place.writer, own)).chain(helpers);
+        let claim = load::Claim {
+            segments: chosen.map(part).collect(),
             prompt,
             answer: context.expected_answer(),
             bound_ms: context
                 .route
-                .pause
+                .max_pause
                 .map_or(0, |pause| pause.as_millis() as u32),
             is_long: place.takes_turn,
-            reads: (now, now + patience::millis(place.first_ms)),
+            reads: (now, now + deadline::millis(place.first_ms)),
         };
-        let limit = state.quotas.limit(servers[place.first].key);
-        let ticket = state.board.enter(now, claim);
+        let limit = state.quotas.limit(servers[place.writer].key);
+        let ticket = state.board.insert(now, claim);
         drop(state);
         self.loads_changed.notify_one();
         let guard = Guard {
             direct: Arc::clone(self),
             ticket,
         };
-        let load = servers[place.first].load;
+        let load = servers[place.writer].load;
         let limit = limit.map_or(0.0, quota::Rate::per_second);
-        if self.lines.allow(Event::RequestPlaced, now) {
+        if self.log_limiter.allow(Event::RequestPlaced, now) {
             log_event!(self.node.log(), Event::RequestPlaced, "request" => &context.request.id,
                 "route" => &context.route.name, "config" => context.version,
-                "server" => &records[place.first].life, "prompt" => prompt, "aside" => place.aside.iter().sum::<u64>(),
+                "server" => &records[place.writer].life, "prompt" => prompt, "aside" => place.reserved.iter().sum::<u64>(),
                 "helpers" => place.helpers.iter().map(|at| records[*at].life.to_string()).collect::<Vec<_>>().join(","), "first_ms" => place.first_ms as u64,
                 "writers" => load.writers, "readers" => load.readers, "backlog_ms" => load.backlog_ms,
                 "limit" => limit, "objective_ms" => context.route.objective.as_millis() as u64,
-                "bound_ms" => context.route.pause.map_or(0, |pause| pause.as_millis() as u64),
+                "bound_ms" => context.route.max_pause.map_or(0, |pause| pause.as_millis() as u64),
                 "tried" => context.history.tried, "waited_ms" => context.began.elapsed().as_millis() as u64,
                 "left_ms" => context.time_left().as_millis() as u64);
         }
         Assignment {
-            server: records[place.first].clone(),
+            server: records[place.writer].clone(),
             helpers: place
                 .helpers
                 .iter()
                 .map(|at| records[*at].clone())
                 .collect(),
-            reserved_tokens: place.aside,
+            reserved_tokens: place.reserved,
             first_ms: place.first_ms,
             guard,
         }
@@ -198,16 +199,17 @@
 
     /// Whether another server would serve a request enough sooner than `server`, which is alive but
     /// has not answered it yet.
-    pub(super) fn has_better_server(&self, context: &Context, server: &register::Life) -> bool {
+    pub(super) fn has_better_server(&self, context: &Context, server: &register::Instance) -> bool {
         let now = self.node.now();
         let mut state = self.state();
-        let standing::Candidates { mut records, part } = standing::candidates(&state, now, context);
+        let eligibility::Candidates { mut records, part } =
+            eligibility::candidates(&state, now, context);
         records.retain(|record| record.life != *server);
         if records.is_empty() {
             return false;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.any_waits(now);
+        let any_waits = state.board.has_waiting(now);
         let writing = context.write_time_bound(&state.writing);
         drop(state);
         let place = find(context, &servers, any_waits);
@@ -215,7 +217,7 @@
             place.is_worth_moving(context.route.objective)
                 && context.completes_before_exit(place.first_ms, writing)
         });
-        if !is_better && self.lines.allow(Event::RequestStays, now) {
+        if !is_better && self.log_limiter.allow(Event::RequestStays, now) {
             log_event!(self.node.log(), Event::RequestStays, "request" => &context.request.id,
                 "server" => server, "others" => servers.len(), "left_ms" => context.time_left().as_millis() as u64);
         }
@@ -231,16 +233,16 @@
         part: subset::Subset,
     ) -> Vec<place::Server> {
         let zone = &self.node.settings().zone;
-        let view = state.board.view_of(now, part);
+        let view = state.board.view_subset(now, part);
         let server = |record: &register::Record| {
-            let key = board::server_key(&record.life);
+            let key = load::server_key(&record.life);
             place::Server {
                 key,
                 near: record.zone == *zone,
                 slots: record.slots,
                 load: view.get(&key).copied().unwrap_or_default(),
                 pace: state.healths.pace(&record.life),
-                failing: state.healths.failing(now, &record.life),
+                failing: state.healths.failure_rate(now, &record.life),
             }
         };
         records.iter().map(server).collect()
@@ -258,19 +260,17 @@
         let now = self.node.now();
         let objective = context.route.objective;
         let mut state = self.state();
-        state.observe_pressure(now);
+        state.observe_congestion(now);
         let servers = state.register.ready(now, &context.service).count();
-        let away = state
-            .pressure
-            .turns_away(&engine, &need, objective, servers);
+        let away = state.pressure.rejection(&engine, &need, objective, servers);
         drop(state);
         let Some(away) = away else {
             return false;
         };
-        if self.lines.allow(Event::RequestAway, now) {
+        if self.log_limiter.allow(Event::RequestAway, now) {
             log_event!(self.node.log(), Event::RequestAway, "request" => &context.request.id,
                 "prompt" => need.prompt, "level" => away.level, "servers" => servers,
-                "part_ms" => away.part_ms as u64);
+                "part_ms" => away.fleet_ms as u64);
         }
         true
     }
@@ -286,7 +286,7 @@
     pub(super) async fn choose_in_turn(
         self: &Arc<Self>,
         context: &Context,
-    ) -> Result<Assignment, verdict::End> {
+    ) -> Result<Assignment, retry::Failure> {
         context.progress.reach(progress::Stage::Waiting);
         let is_long = context
             .engine
@@ -301,17 +301,17 @@
         let mut turn = turn::Turn::new(self);
         loop {
             if self.sheds(context) {
-                return Err(verdict::End::Away);
+                return Err(retry::Failure::Away);
             }
             if turn.is_next(context) {
                 match self.choose(context, Reading::InTurn) {
                     Choice::Assigned(assignment) => return Ok(*assignment),
-                    Choice::Exiting => return Err(verdict::End::Ending),
+                    Choice::Exiting => return Err(retry::Failure::Ending),
                     Choice::NoServer => return self.choose_only_limited(context).await,
                     Choice::NeedsTurn => turn.wait(context),
                     Choice::NeedsCapacity => turn.leave(),
                     Choice::Full if !self.may_complete_here(context) => {
-                        return Err(verdict::End::Ending);
+                        return Err(retry::Failure::Ending);
                     }
                     Choice::Full => {
                         let limited = self.choose_limited(context, Reason::OthersFull);
@@ -326,10 +326,10 @@
                 turn.wait(context);
             }
             if !context.may_wait_for_server() {
-                return Err(verdict::End::Unsent);
+                return Err(retry::Failure::Unsent);
             }
             if !self.may_complete_here(context) {
-                return Err(verdict::End::Ending);
+                return Err(retry::Failure::Ending);
             }
             time::sleep(turn.poll_interval()).await;
         }
@@ -339,12 +339,12 @@
     async fn choose_only_limited(
         self: &Arc<Self>,
         context: &Context,
-    ) -> Result<Assignment, verdict::End> {
+    ) -> Result<Assignment, retry::Failure> {
         match self.choose_limited(context, Reason::OnlyLimited).await {
             Ok(Some(assignment)) => Ok(assignment),
-            Ok(None) if context.lifetime.is_ending() => Err(verdict::End::Ending),
-            Ok(None) => Err(verdict::End::Unsent),
-            Err(retry_after) => Err(verdict::End::Limited(retry_after)),
+            Ok(None) if context.lifetime.is_stopping() => Err(retry::Failure::Ending),
+            Ok(None) => Err(retry::Failure::Unsent),
+            Err(retry_after) => Err(retry::Failure::Limited(retry_after)),
         }
     }
 }
@@ -374,8 +374,8 @@
 fn find(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
     let alone = |first: usize, first_ms: f64| place::Place {
         first_ms,
-        part_ms: first_ms,
-        ..lone::plain(first)
+        segment_ms: first_ms,
+        ..single::plain(first)
     };
     let (Some(engine), Some(size)) = (&context.engine, context.request.size) else {
         return place::plain(servers, context.need().draw).map(|at| alone(at, 0.0));
--- a/src/edge/direct/context.rs
+++ b/src/edge/direct/context.rs
@@ -8,13 +8,13 @@
 
 use super::dialect;
 use super::progress;
-use crate::direct::board;
 use crate::direct::catalog;
+use crate::direct::deadline;
+use crate::direct::load;
 use crate::direct::model;
-use crate::direct::patience;
 use crate::direct::place;
 use crate::direct::register;
-use crate::direct::verdict;
+use crate::direct::retry;
 use crate::direct::writing;
 use crate::edge::lifetime;
 use crate::wire::id;
@@ -39,9 +39,9 @@
     pub began: Instant,
     pub deadline: Instant,
     /// Counts of its attempts so far.
-    pub history: verdict::Past,
+    pub history: retry::History,
     /// Servers at which an attempt of it failed.
-    pub failed_servers: Vec<register::Life>,
+    pub failed_servers: Vec<register::Instance>,
     /// Hash of workspace, host, URI and body: equal for equal requests.
     pub fingerprint: id::Fingerprint,
     /// Version of the configuration that routed it.
@@ -56,7 +56,7 @@
     /// Time until its deadline or the exit of this process, whichever comes first.
     pub fn time_left(&self) -> Duration {
         let own = self.caller_time_left();
-        self.lifetime.left().map_or(own, |exit| own.min(exit))
+        self.lifetime.remaining().map_or(own, |exit| own.min(exit))
     }
 
     /// Time until its deadline.
@@ -66,16 +66,16 @@
 
     /// Cancels the attempt in progress because this process exits. One that was sent counts as
     /// having run.
-    pub fn end_with_process(&mut self) -> verdict::End {
+    pub fn end_with_process(&mut self) -> retry::Failure {
         if self.progress.lock().stage == progress::Stage::Sent {
             self.history.ran += 1;
         }
-        verdict::End::Ending
+        retry::Failure::Ending
     }
 
     /// Time within which the rest of its response is most likely generated.
     pub fn write_time_bound(&self, known: &writing::Writing) -> Duration {
-        known.most(&self.service, self.modelled_write_time())
+        known.upper_bound(&self.service, self.modelled_write_time())
     }
 
     /// Average time to generate the rest of its response.
@@ -90,7 +90,7 @@
         };
         let written = u64::from(self.progress.lock().events) * u64::from(engine.stride);
         let rest = self.expected_answer().saturating_sub(written);
-        patience::writing(engine, size.prompt, rest)
+        deadline::write_time(engine, size.prompt, rest)
     }
 
     /// Whether its response would be complete before this process exits, if its first event comes
@@ -98,30 +98,30 @@
     /// longer than the objective of its route.
     pub fn completes_before_exit(&self, first_ms: f64, writing: Duration) -> bool {
         let first = match self.engine.zip(self.request.size) {
-            Some(_) => patience::millis(first_ms),
+            Some(_) => deadline::millis(first_ms),
             None => self.route.objective,
         };
-        self.wait().ends_in_life(first, writing)
+        self.wait().ends_before_exit(first, writing)
     }
 
     /// Whether a request without a server may still be assigned one in time.
     pub fn may_wait_for_server(&self) -> bool {
         let engine = self.engine.filter(|_| self.request.size.is_some());
-        engine.is_some_and(|engine| self.wait().may_go_on(&engine, &self.need()))
+        engine.is_some_and(|engine| self.wait().may_still_start(&engine, &self.need()))
     }
 
     /// Whether the deadline can be met at `place`. Checked for long prompts only.
     pub fn meets_deadline_at(&self, place: &place::Place) -> bool {
         let need = self.need();
         let engine = self.engine.filter(|engine| place::is_long(engine, &need));
-        let first = patience::millis(place.first_ms);
+        let first = deadline::millis(place.first_ms);
         engine.is_none_or(|engine| self.wait().allows(&engine, &need, first))
     }
 
     /// Least time to its first event in milliseconds, by the time model.
     pub fn min_first_ms(&self) -> f64 {
         let engine = self.engine.filter(|_| self.request.size.is_some());
-        let fastest = engine.map(|engine| patience::fastest(&engine, &self.need()));
+        let fastest = engine.map(|engine| deadline::min_read_time(&engine, &self.need()));
         fastest.unwrap_or_default().as_secs_f64() * 1e3
     }
 
@@ -129,13 +129,14 @@
     pub fn may_wait_at_entry(&self) -> bool {
         let engine = self.engine.filter(|_| self.request.size.is_some());
         self.history.tried == 0
-            && engine.is_some_and(|engine| self.wait().may_hold(&engine, &self.need()))
+            && engine.is_some_and(|engine| self.wait().may_wait_at_entry(&engine, &self.need()))
     }
 
     /// How long it has waited for its first event, and how long it may.
-    pub fn wait(&self) -> patience::Wait {
-        let wait = patience::Wait::new(&self.route, self.began.elapsed(), self.caller_time_left());
-        wait.within(self.lifetime.left())
+    pub fn wait(&self) -> deadline::Budget {
+        let wait =
+            deadline::Budget::new(&self.route, self.began.elapsed(), self.caller_time_left());
+        wait.with_exit(self.lifetime.remaining())
     }
 
     /// The properties of the request that placement depends on.
@@ -143,9 +144,12 @@
         place::Need {
             prompt: self.request.size.map_or(0, |size| size.prompt),
             answer: self.expected_answer(),
-            aim: self.route.objective.saturating_sub(self.began.elapsed()),
-            bound_ms: self.route.pause.map_or(0, |pause| pause.as_millis() as u32),
-            draw: board::key(&self.request.id),
+            objective: self.route.objective.saturating_sub(self.began.elapsed()),
+            bound_ms: self
+                .route
+                .max_pause
+                .map_or(0, |pause| pause.as_millis() as u32),
+            draw: load::key(&self.request.id),
         }
     }
 
--- a/src/edge/direct/dialect.rs
+++ b/src/edge/direct/dialect.rs
@@ -124,7 +124,7 @@
     fn response(&self, head: &response::Parts) -> Response;
 
     /// Decodes the rate limit that a backend server names in the headers of any response.
-    fn limit(&self, headers: &HeaderMap) -> quota::Named;
+    fn limit(&self, headers: &HeaderMap) -> quota::Notice;
 
     /// Path of the load report of a backend server.
     fn report_path(&self) -> &'static str;
--- a/src/edge/direct/standing.rs
+++ b/src/edge/direct/eligibility.rs
@@ -19,13 +19,15 @@
 /// fleet in good standing; failing that, of the whole fleet; failing that, any, if no server with
 /// a limit is in good standing.
 pub(super) fn candidates(state: &super::State, now: Duration, context: &Context) -> Candidates {
-    let ready: Vec<register::Ready<'_>> =
-        state.register.ready_keyed(now, &context.service).collect();
+    let ready: Vec<register::Ready<'_>> = state
+        .register
+        .ready_with_keys(now, &context.service)
+        .collect();
     let part = subset::Subset::draw(ready.len(), context.need().draw);
     if part != subset::Subset::WHOLE {
         let of_part: Vec<register::Ready<'_>> = ready
             .iter()
-            .filter(|one| part.holds(one.key))
+            .filter(|one| part.contains(one.key))
             .copied()
             .collect();
         let good = in_good_standing(state, now, context, &of_part);
@@ -115,5 +117,5 @@
     age: Duration,
 ) -> bool {
     let untried = !context.failed_servers.contains(&server.life);
-    age < UNHEARD && untried && !state.healths.is_out(now, &server.life)
+    age < UNHEARD && untried && !state.healths.is_paused(now, &server.life)
 }
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -14,11 +14,11 @@
 use super::State;
 use super::choose::Assignment;
 use super::context::Context;
-use super::standing;
-use crate::direct::board;
+use super::eligibility;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::place;
-use crate::direct::place::lone;
+use crate::direct::place::single;
 use crate::direct::quota;
 use crate::direct::register;
 use crate::direct::subset;
@@ -100,7 +100,7 @@
         let max_wait = match reason {
             Reason::HasCapacity => Duration::ZERO,
             Reason::OthersFull => OTHERS_FULL_WAIT,
-            Reason::OnlyLimited => context.wait().for_grant(),
+            Reason::OnlyLimited => context.wait().grant_timeout(),
         };
         let slot = match self
             .request_grant(&context.service, &servers, max_wait)
@@ -128,12 +128,12 @@
         let is_grantor = self.grantors(&context.service).first() == Some(&self.own_link());
         let mut state = self.state();
         let has_others = reason != Reason::OnlyLimited;
-        let mut records = standing::limited(&state, now, context, has_others);
+        let mut records = eligibility::limited(&state, now, context, has_others);
         if reason == Reason::HasCapacity {
             // Only the grantor knows whether a server is free. Once it is unknown whether the limit
             // is still in force, any entry may try.
             records.retain(|record| {
-                let server = board::server_key(&record.life);
+                let server = load::server_key(&record.life);
                 let is_free = is_grantor && state.quotas.is_free(now, server);
                 is_free || state.quotas.is_stale(now, server)
             });
@@ -171,7 +171,7 @@
         service: &str,
         servers: &[u64],
         max_wait: Duration,
-    ) -> Result<quota::Slot, Duration> {
+    ) -> Result<quota::Grant, Duration> {
         let now = self.node.now();
         let mut grantors = self.grantors(service);
         {
@@ -188,20 +188,20 @@
                 return self.grant(service, servers, max_wait);
             }
             if let Some(grant) = self.send_request(grantor, service, servers, max_wait).await {
-                self.counts.granted(grant.server.is_some());
+                self.counts.grant_answered(grant.server.is_some());
                 return match grant.server {
-                    Some(server) => Ok(quota::Slot {
+                    Some(server) => Ok(quota::Grant {
                         server,
                         wait: grant.wait,
                     }),
                     None => Err(grant.wait),
                 };
             }
-            self.counts.unanswered();
+            self.counts.grant_unanswered();
             let until = self.node.now() + SKIP_TIME;
             self.grant_requests().skipped.insert(grantor, until);
         }
-        Err(quota::COME_BACK)
+        Err(quota::DEFAULT_RETRY_AFTER)
     }
 
     async fn send_request(
@@ -223,16 +223,16 @@
             let state = self.state();
             let reports = servers
                 .iter()
-                .filter_map(|server| state.quotas.word(*server));
+                .filter_map(|server| state.quotas.report(*server));
             reports.collect()
         };
-        let ask = gossip::Ask {
+        let ask = gossip::Request {
             number,
             service: service.to_owned(),
             words: reports,
             most: max_wait,
         };
-        self.tell_one(grantor, gossip::News::Ask(ask));
+        self.send_to(grantor, gossip::Message::Ask(ask));
         let granted = time::timeout(ASK_TIMEOUT, rx).await;
         self.grant_requests().pending.remove(&number);
         granted.ok()?.ok()
@@ -243,19 +243,19 @@
         service: &str,
         servers: &[u64],
         max_wait: Duration,
-    ) -> Result<quota::Slot, Duration> {
+    ) -> Result<quota::Grant, Duration> {
         let now = self.node.now();
         let account = if self.grantors(service).first() == Some(&self.own_link()) {
-            quota::Account::First
+            quota::Grantor::Primary
         } else {
-            quota::Account::Deputy
+            quota::Grantor::Deputy
         };
         let mut state = self.state();
         state.quotas.grant(now, service, servers, max_wait, account)
     }
 
     /// Answers a grant request of another entry.
-    pub(super) fn answer_grant_request(&self, ask: &gossip::Ask) -> gossip::Grant {
+    pub(super) fn answer_grant_request(&self, ask: &gossip::Request) -> gossip::Grant {
         self.receive_limit_reports(&ask.words);
         let servers: Vec<u64> = ask.words.iter().map(|report| report.server).collect();
         let granted = self.grant(&ask.service, &servers, ask.most);
@@ -276,8 +276,8 @@
 
     /// Counts something that is sent without a grant against the limit of its server, if it names
     /// one. The grantor keeps the account.
-    pub(super) fn charge(&self, life: &register::Life) {
-        let server = board::server_key(life);
+    pub(super) fn charge(&self, life: &register::Instance) {
+        let server = load::server_key(life);
         let service = {
             let state = self.state();
             if state.quotas.limit(server).is_none() {
@@ -288,7 +288,7 @@
         };
         match self.grantors(&service).first() {
             Some(grantor) if *grantor != self.own_link() => {
-                self.tell_one(*grantor, gossip::News::Charged(server));
+                self.send_to(*grantor, gossip::Message::Charged(server));
             }
             _ => self.receive_charge(server),
         }
@@ -344,7 +344,7 @@
                 .insert(context.service.clone(), until);
             return;
         }
-        if self.lines.allow(Event::RequestLimited, now) {
+        if self.log_limiter.allow(Event::RequestLimited, now) {
             log_event!(self.node.log(), Event::RequestLimited, "request" => &context.request.id,
                 "servers" => servers, "come_back_ms" => retry_after.as_millis() as u64,
                 "left_ms" => context.time_left().as_millis() as u64);
@@ -365,12 +365,14 @@
     let (Some(engine), Some(_)) = (&context.engine, context.request.size) else {
         let taken = server.load.readers + server.load.writers;
         let is_free = taken < server.slots || reason == Reason::OnlyLimited;
-        return is_free.then(|| lone::plain(0));
+        return is_free.then(|| single::plain(0));
     };
     let need = context.need();
-    let place = lone::engine(engine, &need, server, 0)?;
+    let place = single::engine(engine, &need, server, 0)?;
     let is_suitable = match reason {
-        Reason::HasCapacity => !place::is_long(engine, &need) && place.is_surely_on_time(need.aim),
+        Reason::HasCapacity => {
+            !place::is_long(engine, &need) && place.is_surely_on_time(need.objective)
+        }
         Reason::OthersFull => !place.is_full(context.route.objective),
         Reason::OnlyLimited => true,
     };
@@ -379,7 +381,7 @@
 
 impl State {
     /// Whether a server names a limit.
-    pub(super) fn is_limited(&self, life: &register::Life) -> bool {
-        !self.quotas.is_empty() && self.quotas.limit(board::server_key(life)).is_some()
+    pub(super) fn is_limited(&self, life: &register::Instance) -> bool {
+        !self.quotas.is_empty() && self.quotas.limit(load::server_key(life)).is_some()
     }
 }
--- a/src/edge/direct/progress.rs
+++ b/src/edge/direct/progress.rs
@@ -68,7 +68,7 @@
     /// Its deadline, once known.
     pub deadline: Option<Instant>,
     /// The backend server of its last attempt.
-    pub server: Option<register::Life>,
+    pub server: Option<register::Instance>,
     /// Events passed on to the caller.
     pub events: u32,
     /// Whether it was logged as cut by the exit of this process.
@@ -109,7 +109,7 @@
     }
 
     /// Enters the first stage of an attempt at `server`.
-    pub fn reach_at(&self, stage: Stage, server: &register::Life) {
+    pub fn reach_at(&self, stage: Stage, server: &register::Instance) {
         self.reach(stage);
         self.lock().server = Some(server.clone());
     }
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -20,14 +20,14 @@
 use super::attempt;
 use super::context::Context;
 use super::dialect;
-use super::door;
+use super::listener;
 use super::progress;
 use super::span;
 use super::stream;
 use crate::direct::catalog;
-use crate::direct::patience;
+use crate::direct::deadline;
 use crate::direct::register;
-use crate::direct::verdict;
+use crate::direct::retry;
 use crate::edge::event::Event;
 use crate::log_event;
 use crate::wire::id;
@@ -81,11 +81,11 @@
     }
 }
 
-impl door::Handler for Direct {
+impl listener::Handler for Direct {
     async fn handle(
         self: &Arc<Self>,
         request: http::Request<body::Incoming>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let (head, body) = request.into_parts();
         let request = self.dialect.request(&head);
         let mut span = span::Span::new(self, &request.id);
@@ -93,14 +93,14 @@
         let admitted = tokio::select! {
             biased;
             admitted = self.admit(request, head, body, span.progress()) => admitted,
-            () = lifetime.over() => Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, EXITS)),
+            () = lifetime.expired() => Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, EXITS)),
         };
         let context = match admitted {
             Ok(context) => context,
             Err(rejection) => {
                 span.end(rejection.status, rejection.why);
                 // Other entries have the configuration and servers that this one waited for.
-                let is_ending = lifetime.is_ending();
+                let is_ending = lifetime.is_stopping();
                 let retry_after = rejection
                     .retry_after
                     .map(|after| if is_ending { Duration::ZERO } else { after });
@@ -168,7 +168,7 @@
             workspace: name,
             began,
             deadline: began + limit,
-            history: verdict::Past::default(),
+            history: retry::History::default(),
             failed_servers: Vec::new(),
             fingerprint,
             version: catalog.version(),
@@ -206,16 +206,16 @@
         self: &Arc<Self>,
         mut context: Context,
         mut span: span::Span,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let now = self.node.now();
-        self.state().budget.request(now, &context.service);
+        self.state().budget.record_request(now, &context.service);
         let deadline = time::Instant::from_std(context.deadline);
         let lifetime = context.lifetime.clone();
         // `biased`: a response that has arrived is passed on even at the deadline.
         let outcome = tokio::select! {
             biased;
             outcome = time::timeout_at(deadline, self.attempt_until_done(&mut context, None)) => outcome,
-            () = lifetime.over() => Ok(Err(context.end_with_process().into())),
+            () = lifetime.expired() => Ok(Err(context.end_with_process().into())),
         };
         let failure = match outcome {
             Ok(Ok(attempt::Response::Complete(response))) => {
@@ -232,17 +232,17 @@
                 return self.pass_stream(context, span, &head, first, reader);
             }
             Ok(Err(failure)) => failure,
-            Err(_) => verdict::End::Late.into(),
+            Err(_) => retry::Failure::Late.into(),
         };
         if let Some(response) = failure.response {
             span.end(response.head.status, "error response of the backend server");
             return pass_on(response);
         }
         let (status, retry_after) =
-            match verdict::refusal(&failure.end, context.history, context.time_left()) {
-                verdict::Refusal::Busy(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after)),
-                verdict::Refusal::Failed => (StatusCode::BAD_GATEWAY, None),
-                verdict::Refusal::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
+            match retry::reply(&failure.end, context.history, context.time_left()) {
+                retry::Reply::Busy(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after)),
+                retry::Reply::Failed => (StatusCode::BAD_GATEWAY, None),
+                retry::Reply::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
             };
         span.end(status, &format!("{:?}", failure.end));
         reject(status, retry_after)
@@ -262,9 +262,9 @@
             // An attempt that left its server has spent from the retry budget then.
             let is_free = matches!(
                 failure.end,
-                verdict::End::Unsent | verdict::End::Slow | verdict::End::Silent
+                retry::Failure::Unsent | retry::Failure::Slow | retry::Failure::Silent
             );
-            let may = verdict::again(
+            let may = retry::is_allowed(
                 &context.route,
                 &failure.end,
                 context.history,
@@ -283,21 +283,21 @@
     /// Takes one retry from the budget of `service`, if it has one left.
     pub(super) fn spend_retry(&self, service: &str) -> bool {
         let now = self.node.now();
-        let entries = self.entries();
-        self.state().budget.spend(now, service, entries)
+        let entries = self.entry_count();
+        self.state().budget.try_spend(now, service, entries)
     }
 
     /// Whether a request may leave the server that it waits for. Takes one retry from the budget if
     /// so. Otherwise the request keeps waiting, as a response may still come.
     pub(super) fn may_move(&self, context: &Context) -> bool {
-        let end = verdict::End::Slow;
-        verdict::again(&context.route, &end, context.history, context.time_left())
+        let end = retry::Failure::Slow;
+        retry::is_allowed(&context.route, &end, context.history, context.time_left())
             && self.spend_retry(&context.service)
     }
 
     /// Whether a request leaves a slow server for a better one. Takes one retry from the budget if
     /// so.
-    pub(super) fn should_move(&self, context: &Context, server: &register::Life) -> bool {
+    pub(super) fn should_move(&self, context: &Context, server: &register::Instance) -> bool {
         self.has_better_server(context, server) && self.may_move(context)
     }
 
@@ -309,7 +309,7 @@
         head: &response::Parts,
         first: stream::Chunk,
         mut reader: Box<stream::Reader>,
-    ) -> http::Response<door::Body> {
+    ) -> http::Response<listener::Body> {
         let status = head.status;
         let headers = response_headers(head);
         let direct = Arc::clone(self);
@@ -321,7 +321,7 @@
             yield Ok(body::Frame::data(first.bytes));
             let deadline = time::Instant::from_std(context.deadline);
             loop {
-                let next = time::timeout_at(deadline, time::timeout(patience::stuck(&context.route), reader.next(patience::QUIET, || direct.may_move(&context))));
+                let next = time::timeout_at(deadline, time::timeout(deadline::stall_timeout(&context.route), reader.next(deadline::PROBE_AFTER, || direct.may_move(&context))));
                 let lost = match next.await {
                     Ok(Ok(stream::Next::Chunk(chunk))) => {
                         span.events_passed(chunk.events);
@@ -339,10 +339,10 @@
                     }
                     Ok(Ok(stream::Next::Lost(end))) => end,
                     Ok(Err(_)) if direct.should_move(&context, &reader.server.life) => {
-                        verdict::End::Slow
+                        retry::Failure::Slow
                     }
                     Ok(Err(_)) => continue,
-                    Err(_) => verdict::End::Late,
+                    Err(_) => retry::Failure::Late,
                 };
                 let resumed = direct.resume_in_time(&mut context, &reader, &lost, after.as_deref());
                 if let Some((chunk, next)) = resumed.await {
@@ -360,7 +360,7 @@
                 }
             }
         };
-        let mut response = http::Response::new(door::pieces(Box::pin(chunks)));
+        let mut response = http::Response::new(listener::streamed(Box::pin(chunks)));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
@@ -374,7 +374,7 @@
         if context.history.ran > 1 {
             return;
         }
-        let expected = patience::writing(engine, size.prompt, context.expected_answer());
+        let expected = deadline::write_time(engine, size.prompt, context.expected_answer());
         let mut state = self.state();
         state.writing.observe(&context.service, took, expected);
     }
@@ -384,7 +384,7 @@
         self: &Arc<Self>,
         context: &mut Context,
         reader: &stream::Reader,
-        lost: &verdict::End,
+        lost: &retry::Failure,
         after: Option<&str>,
     ) -> Option<(stream::Chunk, Box<stream::Reader>)> {
         let deadline = time::Instant::from_std(context.deadline);
@@ -394,7 +394,7 @@
             resumed = time::timeout_at(deadline, self.resume(context, reader, lost, after)) => {
                 resumed.ok().flatten()
             }
-            () = lifetime.over() => None,
+            () = lifetime.expired() => None,
         }
     }
 
@@ -403,19 +403,19 @@
         self: &Arc<Self>,
         context: &mut Context,
         reader: &stream::Reader,
-        lost: &verdict::End,
+        lost: &retry::Failure,
         after: Option<&str>,
     ) -> Option<(stream::Chunk, Box<stream::Reader>)> {
         match lost {
-            verdict::End::Silent => self.missed(&reader.server.life, "silent midway"),
-            verdict::End::Late => return None,
-            verdict::End::Slow => {}
-            _ => self.look_after(context.fingerprint, reader.server.clone()),
+            retry::Failure::Silent => self.pause_server(&reader.server.life, "silent midway"),
+            retry::Failure::Late => return None,
+            retry::Failure::Slow => {}
+            _ => self.check_after_disconnect(context.fingerprint, reader.server.clone()),
         }
         context.failed_servers.push(reader.server.life.clone());
         let after = after?;
-        let is_free = matches!(lost, verdict::End::Slow | verdict::End::Silent);
-        let may = verdict::again(&context.route, lost, context.history, context.time_left())
+        let is_free = matches!(lost, retry::Failure::Slow | retry::Failure::Silent);
+        let may = retry::is_allowed(&context.route, lost, context.history, context.time_left())
             && (is_free || self.spend_retry(&context.service));
         if !may {
             return None;
@@ -462,7 +462,7 @@
     let Some(route) = catalog.route(&request.host, path) else {
         return Err(Rejection::new(StatusCode::NOT_FOUND, "no route matches"));
     };
-    if route.public || !catalog.keyed() {
+    if route.public || !catalog.requires_key() {
         return Ok((route, None));
     }
     let key = request.key.as_deref();
@@ -483,16 +483,16 @@
     headers
 }
 
-fn pass_on(complete: attempt::Complete) -> http::Response<door::Body> {
+fn pass_on(complete: attempt::Complete) -> http::Response<listener::Body> {
     let headers = response_headers(&complete.head);
-    let mut response = http::Response::new(door::whole(complete.body));
+    let mut response = http::Response::new(listener::full(complete.body));
     *response.status_mut() = complete.head.status;
     *response.headers_mut() = headers;
     response
 }
 
-fn reject(status: StatusCode, retry_after: Option<Duration>) -> http::Response<door::Body> {
-    let mut response = http::Response::new(door::whole(Bytes::new()));
+fn reject(status: StatusCode, retry_after: Option<Duration>) -> http::Response<listener::Body> {
+    let mut response = http::Response::new(listener::full(Bytes::new()));
     *response.status_mut() = status;
     if let Some(after) = retry_after {
         let seconds = format!("{:.3}", after.as_secs_f64());
--- a/src/edge/direct/reserve.rs
+++ b/src/edge/direct/reserve.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 struct Held {
     addr: SocketAddr,
-    server: register::Life,
+    server: register::Instance,
     ticket: String,
     tokens: u64,
 }
@@ -143,7 +143,7 @@
 impl Direct {
     /// Time after which a reservation expires unless renewed.
     fn hold(&self) -> Duration {
-        self.settings.hold
+        self.settings.reservation_ttl
     }
 
     async fn reserve_memory(&self, held: &Held) -> bool {
--- a/src/edge/direct/stop.rs
+++ b/src/edge/direct/stop.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use super::Direct;
-use super::door;
+use super::listener;
 use super::progress;
 use crate::edge::event::Event;
 use crate::log_event;
@@ -43,21 +43,21 @@
 
 /// The listeners that are closed at a stop.
 pub(super) struct Listeners {
-    stage: watch::Sender<door::Stage>,
+    stage: watch::Sender<listener::Stage>,
     /// Connections of callers.
-    pub(super) callers: door::Open,
+    pub(super) callers: listener::Connections,
     /// Connections of operators and backend servers.
-    pub(super) operators: door::Open,
+    pub(super) operators: listener::Connections,
 }
 
 impl Listeners {
     /// Listeners in the open stage, and the receiver of their stage.
-    pub(super) fn open() -> (Self, watch::Receiver<door::Stage>) {
-        let (stage, closing) = watch::channel(door::Stage::Open);
+    pub(super) fn open() -> (Self, watch::Receiver<listener::Stage>) {
+        let (stage, closing) = watch::channel(listener::Stage::Open);
         let listeners = Self {
             stage,
-            callers: door::Open::default(),
-            operators: door::Open::default(),
+            callers: listener::Connections::default(),
+            operators: listener::Connections::default(),
         };
         (listeners, closing)
     }
@@ -65,12 +65,12 @@
     /// Closes each connection after its next response. New ones are still accepted.
     fn close_after_next(&self) {
         // Fails only if no listener runs, and then there is none to close.
-        let _ = self.stage.send(door::Stage::Leaving);
+        let _ = self.stage.send(listener::Stage::Draining);
     }
 
     /// Stops accepting connections, and waits until those that are open have ended.
     async fn close(&self) {
-        let _ = self.stage.send(door::Stage::Closing);
+        let _ = self.stage.send(listener::Stage::Closing);
         while self.callers.count() + self.operators.count() > 0 {
             time::sleep(CLOSE_POLL).await;
         }
--- a/src/edge/direct/stream.rs
+++ b/src/edge/direct/stream.rs
@@ -15,8 +15,8 @@
 use super::pool;
 use super::reserve;
 use crate::direct::register;
+use crate::direct::retry;
 use crate::direct::sse;
-use crate::direct::verdict;
 
 /// Complete events that arrived together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// The regular end of the stream.
     End,
     /// The stream broke off.
-    Lost(verdict::End),
+    Lost(retry::Failure),
 }
 
 /// Reads the body of one response.
@@ -116,12 +116,12 @@
                 return Next::Chunk(chunk);
             }
             let frame = {
-                let dead = self.direct.dead(&self.server, quiet);
+                let dead = self.direct.until_unresponsive(&self.server, quiet);
                 tokio::select! {
                     frame = self.body.frame() => frame,
                     () = dead, if !stays => {
                         if may_leave() {
-                            return Next::Lost(verdict::End::Silent);
+                            return Next::Lost(retry::Failure::Silent);
                         }
                         stays = true;
                         continue;
@@ -132,11 +132,13 @@
                 Some(Ok(frame)) => {
                     let data = frame.data_ref().map_or(&[][..], |data| data);
                     if !self.splitter.push(data) {
-                        return Next::Lost(verdict::End::Broken);
+                        return Next::Lost(retry::Failure::Broken);
                     }
                 }
-                Some(Err(_)) => return Next::Lost(verdict::End::Broken),
-                None if self.splitter.is_midway() => return Next::Lost(verdict::End::Broken),
+                Some(Err(_)) => return Next::Lost(retry::Failure::Broken),
+                None if self.splitter.has_partial_event() => {
+                    return Next::Lost(retry::Failure::Broken);
+                }
                 None => {
                     self.release_conn();
                     return Next::End;
@@ -164,7 +166,7 @@
         if let Some(conn) = self.conn.take()
             && !self.closes
         {
-            let max_idle = self.direct.most_idle(&self.server.service);
+            let max_idle = self.direct.max_idle(&self.server.service);
             let life = &self.server.life;
             self.direct.pool.keep(life, conn, self.keep_alive, max_idle);
         }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -5,7 +5,7 @@
 
 use super::Direct;
 use super::context::Context;
-use crate::direct::board;
+use crate::direct::load;
 use crate::direct::place;
 use crate::edge::event::Event;
 use crate::log_event;
@@ -21,7 +21,7 @@
 /// The place of a long prompt in the queue. Dropping it leaves the queue.
 pub(super) struct Turn {
     direct: Arc<Direct>,
-    ticket: Option<board::Ticket>,
+    ticket: Option<load::Ticket>,
     rank: u32,
 }
 
@@ -59,7 +59,7 @@
         self.rank = context.wait().rank(engine, &context.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
-        self.ticket = Some(state.board.wait(self.ticket, self.rank));
+        self.ticket = Some(state.board.enqueue(self.ticket, self.rank));
         let now = self.direct.node.now();
         let ahead = state.board.ahead(now, self.rank);
         drop(state);
@@ -67,7 +67,7 @@
             return;
         }
         self.direct.loads_changed.notify_one();
-        if self.direct.lines.allow(Event::RequestWaits, now) {
+        if self.direct.log_limiter.allow(Event::RequestWaits, now) {
             log_event!(self.direct.node.log(), Event::RequestWaits, "request" => &context.request.id,
                 "prompt" => context.need().prompt, "rank" => self.rank, "ahead" => ahead,
                 "left_ms" => context.time_left().as_millis() as u64);
@@ -86,7 +86,7 @@
     /// Leaves the queue.
     pub(super) fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.direct.state().board.stop_waiting(ticket);
+            self.direct.state().board.dequeue(ticket);
             self.direct.loads_changed.notify_one();
         }
     }
