--- a/src/edge/direct/account.rs
+++ b/src/edge/direct/account.rs
@@ -13,17 +13,17 @@
 
 impl Direct {
     /// Counts something sent to a backend server now, and returns the time.
-    pub(super) fn record_sent(&self, life: &register::Instance, kind: tally::Kind) -> Duration {
+    pub(super) fn record_sent(&self, instance: &register::Instance, kind: tally::Kind) -> Duration {
         let now = self.node.now();
         self.counts.sent(kind);
-        self.state().tally.record(now, life, kind);
+        self.state().tally.record(now, instance, kind);
         now
     }
 
     /// Updates the limit of a server from the headers of its response to something sent at `sent`.
     pub(super) fn observe_limit(
         &self,
-        life: &register::Instance,
+        instance: &register::Instance,
         sent: Duration,
         headers: &http::HeaderMap,
         source: quota::Source,
@@ -34,14 +34,14 @@
         if named == quota::Notice::Absent && state.quotas.is_empty() {
             return;
         }
-        let server = load::server_key(life);
+        let server = load::server_key(instance);
         let Some(report) = state.quotas.observe(now, server, sent, named, source) else {
             return;
         };
-        let recent = state.tally.recent(now, life);
+        let recent = state.tally.recent(now, instance);
         drop(state);
         self.broadcast(gossip::Message::Limits(vec![report]));
-        log_event!(self.node.log(), Event::ServerLimit, "server" => life, "change" => report.change,
+        log_event!(self.node.log(), Event::ServerLimit, "server" => instance, "change" => report.change,
             "limit" => limit_text(report.limit), "direct" => true,
             "age_ms" => now.saturating_sub(sent).as_millis() as u64, "requests" => recent.requests,
             "probes" => recent.probes, "orders" => recent.orders);
@@ -54,9 +54,9 @@
             if !self.state().quotas.merge(now, report) {
                 continue;
             }
-            let life = self.instance_of(report.server);
+            let instance = self.instance_of(report.server);
             log_event!(self.node.log(), Event::ServerLimit,
-                "server" => life.map_or(String::new(), |life| life.to_string()),
+                "server" => instance.map_or(String::new(), |instance| instance.to_string()),
                 "change" => report.change, "limit" => limit_text(report.limit), "direct" => false);
         }
     }
@@ -70,20 +70,20 @@
         let now = self.node.now();
         let mut state = self.state();
         state.tally.prune(now);
-        let lives: Vec<register::Instance> = if state.quotas.is_empty() {
+        let instances: Vec<register::Instance> = if state.quotas.is_empty() {
             Vec::new()
         } else {
             state.tally.servers().cloned().collect()
         };
         let mut limited_servers = 0;
-        for life in lives {
-            let Some(limit) = state.quotas.limit(load::server_key(&life)) else {
+        for instance in instances {
+            let Some(limit) = state.quotas.limit(load::server_key(&instance)) else {
                 continue;
             };
             limited_servers += 1;
-            let sent = state.tally.recent(now, &life);
+            let sent = state.tally.recent(now, &instance);
             if self.log_limiter.allow(Event::ServerSent, now) {
-                log_event!(self.node.log(), Event::ServerSent, "server" => &life,
+                log_event!(self.node.log(), Event::ServerSent, "server" => &instance,
                     "limit" => limit.per_second(), "requests" => sent.requests,
                     "probes" => sent.probes, "orders" => sent.orders);
             }
--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -68,16 +68,16 @@
 
 /// A failed attempt, with what can be passed on if no other follows.
 pub struct Failure {
-    /// How the attempt ended.
-    pub end: retry::Failure,
+    /// Why the attempt failed.
+    pub cause: retry::Failure,
     /// The error response of the server.
     pub response: Option<Complete>,
 }
 
 impl From<retry::Failure> for Failure {
-    fn from(end: retry::Failure) -> Self {
+    fn from(cause: retry::Failure) -> Self {
         Self {
-            end,
+            cause,
             response: None,
         }
     }
@@ -92,9 +92,9 @@
     ) -> Result<Response, Failure> {
         let assignment = match self.choose_in_turn(context).await {
             Ok(assignment) => assignment,
-            Err(end) => {
+            Err(cause) => {
                 context.history.tried += 1;
-                return Err(end.into());
+                return Err(cause.into());
             }
         };
         let server = assignment.server.clone();
@@ -106,7 +106,7 @@
             () = cancelled => Err(context.end_with_process().into()),
         };
         if let Err(failure) = &outcome {
-            self.record_failure(context, &server, &failure.end);
+            self.record_failure(context, &server, &failure.cause);
             context.failed_servers.push(server.life);
         } else {
             let now = self.node.now();
@@ -185,7 +185,7 @@
             Err(pool::Failure::Unsent(_)) => return Err(retry::Failure::Unsent.into()),
             Err(pool::Failure::Sent(why)) => {
                 context.history.ran += 1;
-                return Err(end_of_lost(&why).into());
+                return Err(cause_of_loss(&why).into());
             }
         };
         let (head, body) = response.into_parts();
@@ -300,9 +300,9 @@
             let body = collected.ok_or(retry::Failure::Broken)?;
             let complete = Complete { head, body };
             return if complete.head.status.is_server_error() {
-                let end = retry::Failure::Failed;
+                let cause = retry::Failure::Failed;
                 let response = Some(complete);
-                Err(Failure { end, response })
+                Err(Failure { cause, response })
             } else {
                 Ok(Response::Complete(complete))
             };
@@ -332,7 +332,7 @@
                 let body = Bytes::new();
                 Ok(Response::Complete(Complete { head, body }))
             }
-            stream::Next::Lost(end) => Err(end.into()),
+            stream::Next::Lost(cause) => Err(cause.into()),
         }
     }
 
@@ -373,19 +373,20 @@
         self: &Arc<Self>,
         context: &Context,
         server: &register::Record,
-        end: &retry::Failure,
+        cause: &retry::Failure,
     ) {
         let now = self.node.now();
-        self.counts.attempt_failed(&context.service, end_name(end));
+        self.counts
+            .attempt_failed(&context.service, cause_name(cause));
         if self.log_limiter.allow(Event::AttemptEnded, now) {
             log_event!(self.node.log(), Event::AttemptEnded, "request" => &context.request.id,
-                "server" => &server.life, "end" => format!("{end:?}"), "ran" => context.history.ran,
+                "server" => &server.life, "end" => format!("{cause:?}"), "ran" => context.history.ran,
                 "tried" => context.history.tried, "left_ms" => context.time_left().as_millis() as u64);
         }
-        if retry::suspects_server(&context.route, end) {
+        if retry::suspects_server(&context.route, cause) {
             self.pause_server_everywhere(&server.life);
         }
-        match end {
+        match cause {
             retry::Failure::Unsent => self.pause_server(&server.life, "no connection"),
             retry::Failure::Silent => {
                 self.pause_server(&server.life, "silent");
@@ -424,8 +425,8 @@
     )
 }
 
-/// How an attempt ended that was sent and got no response.
-fn end_of_lost(why: &str) -> retry::Failure {
+/// Why an attempt that was sent got no response.
+fn cause_of_loss(why: &str) -> retry::Failure {
     match why {
         SILENT => retry::Failure::Silent,
         HUNG => retry::Failure::Slow,
@@ -433,8 +434,8 @@
     }
 }
 
-fn end_name(end: &retry::Failure) -> &'static str {
-    match end {
+fn cause_name(cause: &retry::Failure) -> &'static str {
+    match cause {
         retry::Failure::Away => "away",
         retry::Failure::Limited(_) => "limited",
         retry::Failure::Unsent => "unsent",
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -102,10 +102,10 @@
             return Choice::NoServer;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.has_waiting(now);
+        let has_waiting = state.board.has_waiting(now);
         let placed = match reading {
-            Reading::InTurn => find(context, &servers, any_waits),
-            Reading::WithoutTurn => find_without_turn(context, &servers, any_waits),
+            Reading::InTurn => find(context, &servers, has_waiting),
+            Reading::WithoutTurn => find_without_turn(context, &servers, has_waiting),
         };
         let Some(place) = placed else {
             return Choice::NeedsCapacity;
@@ -139,13 +139,13 @@
     ) -> Assignment {
         let now = self.node.now();
         let prompt = context.request.size.map_or(0, |size| size.prompt);
-        let part = |(at, memory): (usize, u64)| load::Segment {
+        let segment = |(at, memory): (usize, u64)| load::Segment {
             server: servers[at].key,
             read_ms: place.segment_ms,
             memory,
         };
-        let aside: u64 = place.reserved.iter().sum();
-        let own = (prompt + context.expected_answer()).saturating_sub(aside);
+        let reserved: u64 = place.reserved.iter().sum();
+        let own = (prompt + context.expected_answer()).saturating_sub(reserved);
         let helpers = place
             .helpers
             .iter()
@@ -153,7 +153,7 @@
             .zip(place.reserved.iter().copied());
         let chosen = std::iter::once((place.writer, own)).chain(helpers);
         let claim = load::Claim {
-            segments: chosen.map(part).collect(),
+            segments: chosen.map(segment).collect(),
             prompt,
             answer: context.expected_answer(),
             bound_ms: context
@@ -209,10 +209,10 @@
             return false;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.has_waiting(now);
+        let has_waiting = state.board.has_waiting(now);
         let writing = context.write_time_bound(&state.writing);
         drop(state);
-        let place = find(context, &servers, any_waits);
+        let place = find(context, &servers, has_waiting);
         let is_better = place.is_some_and(|place| {
             place.is_worth_moving(context.route.objective)
                 && context.completes_before_exit(place.first_ms, writing)
@@ -262,15 +262,15 @@
         let mut state = self.state();
         state.observe_congestion(now);
         let servers = state.register.ready(now, &context.service).count();
-        let away = state.pressure.rejection(&engine, &need, objective, servers);
+        let rejection = state.pressure.rejection(&engine, &need, objective, servers);
         drop(state);
-        let Some(away) = away else {
+        let Some(rejection) = rejection else {
             return false;
         };
         if self.log_limiter.allow(Event::RequestAway, now) {
             log_event!(self.node.log(), Event::RequestAway, "request" => &context.request.id,
-                "prompt" => need.prompt, "level" => away.level, "servers" => servers,
-                "part_ms" => away.fleet_ms as u64);
+                "prompt" => need.prompt, "level" => rejection.level, "servers" => servers,
+                "part_ms" => rejection.fleet_ms as u64);
         }
         true
     }
@@ -364,14 +364,14 @@
 fn find_without_turn(
     context: &Context,
     servers: &[place::Server],
-    any_waits: bool,
+    has_waiting: bool,
 ) -> Option<place::Place> {
     let engine = context.engine.as_ref()?;
-    place::without_turn(engine, &context.need(), servers, any_waits)
+    place::without_turn(engine, &context.need(), servers, has_waiting)
 }
 
 /// Finds a place for a request on `servers`.
-fn find(context: &Context, servers: &[place::Server], any_waits: bool) -> Option<place::Place> {
+fn find(context: &Context, servers: &[place::Server], has_waiting: bool) -> Option<place::Place> {
     let alone = |first: usize, first_ms: f64| place::Place {
         first_ms,
         segment_ms: first_ms,
@@ -381,7 +381,7 @@
         return place::plain(servers, context.need().draw).map(|at| alone(at, 0.0));
     };
     let need = context.need();
-    let placed = place::engine(engine, &need, servers, any_waits);
+    let placed = place::engine(engine, &need, servers, has_waiting);
     // As far as known here, no server has memory. A short prompt is sent all the same: the server
     // decides by its actual memory.
     let is_short = size.prompt <= engine.usual_prompt;
--- a/src/edge/direct/context.rs
+++ b/src/edge/direct/context.rs
@@ -101,13 +101,13 @@
             Some(_) => deadline::millis(first_ms),
             None => self.route.objective,
         };
-        self.wait().ends_before_exit(first, writing)
+        self.time_budget().ends_before_exit(first, writing)
     }
 
     /// Whether a request without a server may still be assigned one in time.
     pub fn may_wait_for_server(&self) -> bool {
         let engine = self.engine.filter(|_| self.request.size.is_some());
-        engine.is_some_and(|engine| self.wait().may_still_start(&engine, &self.need()))
+        engine.is_some_and(|engine| self.time_budget().may_still_start(&engine, &self.need()))
     }
 
     /// Whether the deadline can be met at `place`. Checked for long prompts only.
@@ -115,28 +115,29 @@
         let need = self.need();
         let engine = self.engine.filter(|engine| place::is_long(engine, &need));
         let first = deadline::millis(place.first_ms);
-        engine.is_none_or(|engine| self.wait().allows(&engine, &need, first))
+        engine.is_none_or(|engine| self.time_budget().allows(&engine, &need, first))
     }
 
     /// Least time to its first event in milliseconds, by the time model.
     pub fn min_first_ms(&self) -> f64 {
         let engine = self.engine.filter(|_| self.request.size.is_some());
-        let fastest = engine.map(|engine| deadline::min_read_time(&engine, &self.need()));
-        fastest.unwrap_or_default().as_secs_f64() * 1e3
+        let read_time = engine.map(|engine| deadline::min_read_time(&engine, &self.need()));
+        read_time.unwrap_or_default().as_secs_f64() * 1e3
     }
 
     /// Whether it may wait at this entry while all servers are full.
     pub fn may_wait_at_entry(&self) -> bool {
         let engine = self.engine.filter(|_| self.request.size.is_some());
         self.history.tried == 0
-            && engine.is_some_and(|engine| self.wait().may_wait_at_entry(&engine, &self.need()))
+            && engine
+                .is_some_and(|engine| self.time_budget().may_wait_at_entry(&engine, &self.need()))
     }
 
     /// How long it has waited for its first event, and how long it may.
-    pub fn wait(&self) -> deadline::Budget {
-        let wait =
+    pub fn time_budget(&self) -> deadline::Budget {
+        let budget =
             deadline::Budget::new(&self.route, self.began.elapsed(), self.caller_time_left());
-        wait.with_exit(self.lifetime.remaining())
+        budget.with_exit(self.lifetime.remaining())
     }
 
     /// The properties of the request that placement depends on.
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -100,7 +100,7 @@
         let max_wait = match reason {
             Reason::HasCapacity => Duration::ZERO,
             Reason::OthersFull => OTHERS_FULL_WAIT,
-            Reason::OnlyLimited => context.wait().grant_timeout(),
+            Reason::OnlyLimited => context.time_budget().grant_timeout(),
         };
         let slot = match self
             .request_grant(&context.service, &servers, max_wait)
@@ -276,14 +276,14 @@
 
     /// Counts something that is sent without a grant against the limit of its server, if it names
     /// one. The grantor keeps the account.
-    pub(super) fn charge(&self, life: &register::Instance) {
-        let server = load::server_key(life);
+    pub(super) fn charge(&self, instance: &register::Instance) {
+        let server = load::server_key(instance);
         let service = {
             let state = self.state();
             if state.quotas.limit(server).is_none() {
                 return;
             }
-            let record = state.register.get(life);
+            let record = state.register.get(instance);
             record.map_or(String::new(), |record| record.service.clone())
         };
         match self.grantors(&service).first() {
@@ -381,7 +381,7 @@
 
 impl State {
     /// Whether a server names a limit.
-    pub(super) fn is_limited(&self, life: &register::Instance) -> bool {
-        !self.quotas.is_empty() && self.quotas.limit(load::server_key(life)).is_some()
+    pub(super) fn is_limited(&self, instance: &register::Instance) -> bool {
+        !self.quotas.is_empty() && self.quotas.limit(load::server_key(instance)).is_some()
     }
 }
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -239,12 +239,12 @@
             return pass_on(response);
         }
         let (status, retry_after) =
-            match retry::reply(&failure.end, context.history, context.time_left()) {
+            match retry::reply(&failure.cause, context.history, context.time_left()) {
                 retry::Reply::Busy(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after)),
                 retry::Reply::Failed => (StatusCode::BAD_GATEWAY, None),
                 retry::Reply::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
             };
-        span.end(status, &format!("{:?}", failure.end));
+        span.end(status, &format!("{:?}", failure.cause));
         reject(status, retry_after)
     }
 
@@ -261,19 +261,19 @@
             };
             // An attempt that left its server has spent from the retry budget then.
             let is_free = matches!(
-                failure.end,
+                failure.cause,
                 retry::Failure::Unsent | retry::Failure::Slow | retry::Failure::Silent
             );
             let may = retry::is_allowed(
                 &context.route,
-                &failure.end,
+                &failure.cause,
                 context.history,
                 context.time_left(),
             ) && (is_free || self.spend_retry(&context.service));
             if !may {
                 return Err(failure);
             }
-            if context.history.tried > 1 && failure.end.not_run() {
+            if context.history.tried > 1 && failure.cause.not_run() {
                 context.progress.reach(progress::Stage::Paused);
                 time::sleep(REJECTED_PAUSE * (1 << (context.history.tried - 2).min(4))).await;
             }
@@ -290,8 +290,8 @@
     /// Whether a request may leave the server that it waits for. Takes one retry from the budget if
     /// so. Otherwise the request keeps waiting, as a response may still come.
     pub(super) fn may_move(&self, context: &Context) -> bool {
-        let end = retry::Failure::Slow;
-        retry::is_allowed(&context.route, &end, context.history, context.time_left())
+        let cause = retry::Failure::Slow;
+        retry::is_allowed(&context.route, &cause, context.history, context.time_left())
             && self.spend_retry(&context.service)
     }
 
@@ -337,7 +337,7 @@
                         span.end(status, "answered");
                         return;
                     }
-                    Ok(Ok(stream::Next::Lost(end))) => end,
+                    Ok(Ok(stream::Next::Lost(cause))) => cause,
                     Ok(Err(_)) if direct.should_move(&context, &reader.server.life) => {
                         retry::Failure::Slow
                     }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -47,7 +47,12 @@
         let state = self.direct.state();
         match self.ticket {
             Some(ticket) => state.board.is_first(now, ticket, self.rank),
-            None => state.board.ahead(now, context.wait().rank(&engine, &need)) == 0,
+            None => {
+                state
+                    .board
+                    .ahead(now, context.time_budget().rank(&engine, &need))
+                    == 0
+            }
         }
     }
 
@@ -56,7 +61,7 @@
         let Some(engine) = &context.engine else {
             return;
         };
-        self.rank = context.wait().rank(engine, &context.need());
+        self.rank = context.time_budget().rank(engine, &context.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
         self.ticket = Some(state.board.enqueue(self.ticket, self.rank));
