--- a/src/direct/budget.rs
+++ b/src/direct/budget.rs
@@ -1,35 +1,36 @@
-//! How often a service may be sent requests again, over a sliding window.
+//! Retry budget of each service over a sliding window.
 //!
-//! All entries share one budget without asking each other: each spends its part of the fixed
-//! allowance and, of what grows with traffic, that of its own requests. So the sum keeps the
-//! bound also while entries cannot reach one another.
+//! All entries share the budget without communication. Each entry may use an equal part of the fixed
+//! allowance, and retries in proportion to its own requests. So all together keep within the limit
+//! even if they cannot reach each other.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The bound.
+/// The limit on retries, over all entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
-    /// Repeats allowed a request.
+    /// Retries allowed per request.
     pub ratio: f64,
     /// Length of the window.
     pub window: Duration,
-    /// Repeats allowed in a window besides, over all entries.
+    /// Additional retries allowed in each window.
     pub slack: f64,
 }
 
-/// Part of the bound that is used: entries come and go, and what two of them think of how many
-/// there are may differ for a moment.
-const MARGIN: f64 = 0.6;
+/// Part of the limit that is used. Entries start and stop, so two of them may for a moment disagree
+/// about their number.
+const USED_PART: f64 = 0.6;
 
+/// Times of a service's requests and retries within the window.
 #[derive(Debug, Default)]
 struct Account {
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
-/// One entry's part of the budget.
+/// This entry's part of the budget.
 #[derive(Debug)]
 pub struct Budget {
     limit: Limit,
@@ -37,7 +38,7 @@
 }
 
 impl Budget {
-    /// Nothing spent.
+    /// Creates a budget of which nothing is spent.
     pub fn new(limit: Limit) -> Self {
         Self {
             limit,
@@ -51,16 +52,16 @@
         account.requests.push_back(now);
     }
 
-    /// Whether a request may be sent again, with `entries` that share the budget. Spends it.
+    /// Spends a retry if the budget, shared by `entries`, allows it. Returns whether it does.
     pub fn try_spend(&mut self, now: Duration, service: &str, entries: usize) -> bool {
         let limit = self.limit;
         let account = self.account(now, service);
-        let own = limit.slack / entries.max(1) as f64;
-        let allowed = (account.requests.len() as f64 * limit.ratio + own) * MARGIN;
-        if account.repeats.len() as f64 + 1.0 > allowed.max(1.0) {
+        let own_slack = limit.slack / entries.max(1) as f64;
+        let allowed = (account.requests.len() as f64 * limit.ratio + own_slack) * USED_PART;
+        if account.retries.len() as f64 + 1.0 > allowed.max(1.0) {
             return false;
         }
-        account.repeats.push_back(now);
+        account.retries.push_back(now);
         true
     }
 
@@ -70,7 +71,7 @@
             self.accounts.insert(service.to_owned(), Account::default());
         }
         let account = self.accounts.get_mut(service).expect("it was just added");
-        for times in [&mut account.requests, &mut account.repeats] {
+        for times in [&mut account.requests, &mut account.retries] {
             while times.front().is_some_and(|at| *at + window <= now) {
                 times.pop_front();
             }
--- a/src/direct/catalog.rs
+++ b/src/direct/catalog.rs
@@ -1,5 +1,5 @@
-//! The configuration of an entry without sidecars, checked as a whole: routes by host and
-//! prefix, services with their engines, workspaces with their keys.
+//! The validated configuration of an entry without sidecars: routes by host and path prefix,
+//! services with their engines, and workspaces with their keys.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,53 +10,53 @@
 use super::model;
 
 key! {
-    /// What may be repeated.
+    /// Whether a request may be repeated.
     pub enum Kind {
-        /// May run more than once.
+        /// It may run more than once.
         Safe,
-        /// Runs at most once.
+        /// It runs at most once.
         Unsafe,
-        /// A stream of events; may go on elsewhere after its last event if the route says so,
-        /// else it runs at most once.
+        /// Its response is a stream of events. If the route is resumable, another backend server may
+        /// continue after the last event; otherwise it runs at most once.
         Stream,
     }
 }
 
-/// A service that a route leads to.
+/// A service to which a route sends requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// Its share among the targets.
+    /// Its share of the requests, relative to the other targets' weights.
     pub weight: u32,
 }
 
-/// A route.
+/// How requests of a host and path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name in logs and metrics.
     pub name: String,
-    /// Host that it serves.
+    /// The host of its requests.
     pub host: String,
-    /// Paths that it serves begin with this.
+    /// Prefix of its requests' paths.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Kind,
     /// Longest time for a request.
     pub timeout: Duration,
-    /// Time to the answer, or to its first event, within which it is on time.
+    /// Latency objective for the response, or for the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between events within which a stream is on time.
+    /// Objective for the longest pause between events of a stream.
     pub max_pause: Option<Duration>,
-    /// Rank; 0 comes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// Where it leads. Invariant: not empty, and the weights do not add up to 0.
+    /// Services that serve it. Invariant: not empty, and the weights do not add up to 0.
     pub targets: Vec<Target>,
-    /// Backend servers that one request may be sent to.
+    /// Most backend servers to which a request that may be repeated is sent.
     pub max_servers: u32,
-    /// Whether it needs no key.
+    /// Whether callers need no key.
     pub public: bool,
-    /// Whether a stream may go on at another backend server.
+    /// Whether another backend server may continue a stream.
     pub resumable: bool,
 }
 
@@ -70,9 +70,13 @@
         }
     }
 
-    /// The target that `draw` (0 to 1) falls to.
+    /// The target that is chosen by a random number, from 0 to 1.
     pub fn target(&self, draw: f64) -> Option<&Target> {
-        let total: u64 = self.targets.iter().map(|one| u64::from(one.weight)).sum();
+        let total: u64 = self
+            .targets
+            .iter()
+            .map(|target| u64::from(target.weight))
+            .sum();
         let mut left = (draw * total as f64) as u64;
         for target in &self.targets {
             let weight = u64::from(target.weight);
@@ -81,36 +85,36 @@
             }
             left -= weight;
         }
-        self.targets.iter().rfind(|one| one.weight > 0)
+        self.targets.iter().rfind(|target| target.weight > 0)
     }
 }
 
-/// A service.
+/// A group of equivalent backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one of its backend servers accepts from all callers together.
+    /// Connections that each of its backend servers accepts from all entries together.
     pub max_connections: u32,
-    /// Time model of its engines. `None`: a plain service.
+    /// Time model of its engines. `None`: a service without engines.
     pub engine: Option<model::Engine>,
 }
 
-/// What a caller may send, and how slowly.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest request head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head to come.
+    /// Time to receive a request's head.
     pub head_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// What most HTTP servers take; in force until a configuration says more.
+    /// Usual limits of HTTP servers; they apply until a configuration is loaded.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -121,43 +125,43 @@
     }
 }
 
-/// A workspace.
+/// A tenant whose callers share their keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
     /// Keys of its callers.
     pub keys: Vec<String>,
-    /// Its rank, before that of the route.
+    /// Priority of its requests; overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// What a configuration says, not yet checked.
+/// A configuration that is not validated yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Draft {
-    /// Its version.
+    /// Version of the configuration document.
     pub version: u64,
-    /// Routes.
+    /// All routes.
     pub routes: Vec<Route>,
-    /// Services.
+    /// All services.
     pub services: Vec<Service>,
-    /// Limits.
+    /// Limits on callers.
     pub limits: Limits,
-    /// Workspaces. Empty: callers need no keys.
+    /// All workspaces. Empty: callers need no keys.
     pub workspaces: Vec<Workspace>,
 }
 
-/// Something wrong with a configuration.
+/// An error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Where, in words of the configuration.
+    /// The part of the configuration that is wrong, such as `route NAME`.
     pub location: String,
-    /// What is wrong there.
+    /// What is wrong.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding.
+    /// Creates a finding.
     pub fn new(location: impl Into<String>, message: impl Into<String>) -> Self {
         let (location, message) = (location.into(), message.into());
         Self { location, message }
@@ -170,7 +174,7 @@
     }
 }
 
-/// A checked configuration with its indexes.
+/// A validated configuration with its indexes.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     draft: Draft,
@@ -178,11 +182,12 @@
     by_host: HashMap<String, Vec<usize>>,
     /// Indexes of workspaces by key.
     by_key: HashMap<String, usize>,
+    /// Indexes of services by name.
     by_service: BTreeMap<String, usize>,
 }
 
 impl Catalog {
-    /// Checks a draft: the catalog, or all that is wrong with it.
+    /// Validates a draft. The error lists all findings.
     pub fn new(draft: Draft) -> Result<Self, Vec<Finding>> {
         let mut findings = Vec::new();
         check_routes(&draft, &mut findings);
@@ -191,19 +196,21 @@
             return Err(findings);
         }
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (at, route) in draft.routes.iter().enumerate() {
-            by_host.entry(route.host.clone()).or_default().push(at);
+        for (index, route) in draft.routes.iter().enumerate() {
+            by_host.entry(route.host.clone()).or_default().push(index);
         }
         for routes in by_host.values_mut() {
-            routes.sort_by_key(|at| std::cmp::Reverse(draft.routes[*at].prefix.len()));
+            routes.sort_by_key(|index| std::cmp::Reverse(draft.routes[*index].prefix.len()));
         }
         let mut by_key = HashMap::new();
-        for (at, workspace) in draft.workspaces.iter().enumerate() {
+        for (index, workspace) in draft.workspaces.iter().enumerate() {
             let keys = workspace.keys.iter().cloned();
-            by_key.extend(keys.map(|key| (key, at)));
+            by_key.extend(keys.map(|key| (key, index)));
         }
-        let names = draft.services.iter().enumerate();
-        let by_service = names.map(|(at, one)| (one.name.clone(), at)).collect();
+        let services = draft.services.iter().enumerate();
+        let by_service = services
+            .map(|(index, service)| (service.name.clone(), index))
+            .collect();
         Ok(Self {
             draft,
             by_host,
@@ -212,7 +219,7 @@
         })
     }
 
-    /// Its version.
+    /// Version of the configuration document.
     pub fn version(&self) -> u64 {
         self.draft.version
     }
@@ -222,14 +229,16 @@
         &self.draft.limits
     }
 
-    /// The route of `host` with the longest prefix of `path`.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self
             .by_host
             .get(host)?
             .iter()
-            .map(|at| &self.draft.routes[*at]);
-        routes.into_iter().find(|one| path.starts_with(&one.prefix))
+            .map(|index| &self.draft.routes[*index]);
+        routes
+            .into_iter()
+            .find(|route| path.starts_with(&route.prefix))
     }
 
     /// Whether callers need keys.
@@ -237,16 +246,16 @@
         !self.draft.workspaces.is_empty()
     }
 
-    /// The workspace that holds `key`.
+    /// The workspace of a caller's key.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
-        let at = self.by_key.get(key)?;
-        Some(&self.draft.workspaces[*at])
+        let index = self.by_key.get(key)?;
+        Some(&self.draft.workspaces[*index])
     }
 
     /// The service of that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let at = self.by_service.get(name)?;
-        Some(&self.draft.services[*at])
+        let index = self.by_service.get(name)?;
+        Some(&self.draft.services[*index])
     }
 
     /// All services.
@@ -256,26 +265,30 @@
 }
 
 fn check_routes(draft: &Draft, findings: &mut Vec<Finding>) {
-    let services: HashSet<&str> = draft.services.iter().map(|one| one.name.as_str()).collect();
-    let mut places = HashSet::new();
+    let services: HashSet<&str> = draft
+        .services
+        .iter()
+        .map(|service| service.name.as_str())
+        .collect();
+    let mut locations = HashSet::new();
     for route in &draft.routes {
-        let mut find = |why: String| {
-            findings.push(Finding::new(format!("route {}", route.name), why));
+        let mut report = |message: String| {
+            findings.push(Finding::new(format!("route {}", route.name), message));
         };
         if route.timeout.is_zero() {
-            find("its timeout is 0".to_owned());
+            report("its timeout is 0".to_owned());
         }
-        if route.targets.iter().all(|one| one.weight == 0) {
-            find("the weights of its services add up to 0".to_owned());
+        if route.targets.iter().all(|target| target.weight == 0) {
+            report("the weights of its services add up to 0".to_owned());
         }
         for target in &route.targets {
             if !services.contains(target.service.as_str()) {
-                find(format!("there is no service {}", target.service));
+                report(format!("there is no service {}", target.service));
             }
         }
-        if !places.insert((&route.host, &route.prefix)) {
+        if !locations.insert((&route.host, &route.prefix)) {
             let (host, prefix) = (&route.host, &route.prefix);
-            find(format!("another route has host {host} and prefix {prefix}"));
+            report(format!("another route has host {host} and prefix {prefix}"));
         }
     }
 }
@@ -285,9 +298,12 @@
     for workspace in &draft.workspaces {
         for key in &workspace.keys {
             let holder = holders.insert(key, &workspace.name);
-            if let Some(holder) = holder.filter(|one| *one != workspace.name) {
-                let place = format!("workspace {}", workspace.name);
-                findings.push(Finding::new(place, format!("shares a key with {holder}")));
+            if let Some(holder) = holder.filter(|holder| *holder != workspace.name) {
+                let location = format!("workspace {}", workspace.name);
+                findings.push(Finding::new(
+                    location,
+                    format!("shares a key with {holder}"),
+                ));
             }
         }
     }
--- a/src/direct/health.rs
+++ b/src/direct/health.rs
@@ -1,5 +1,4 @@
-//! What is held against backend servers and requests: servers that failed lately, and requests
-//! under which servers died.
+//! The health of backend servers, and requests suspected of crashing them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,151 +7,156 @@
 use super::register;
 use crate::wire::id;
 
-/// First pause after a server could not be reached.
+/// Pause after a server could first not be reached; it doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest pause. A server that crashed is back after some seconds.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Longest pause. A server that crashed is usually back after a few seconds.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Weight of the newest answer in a server's share of failed ones: about the last eight count.
-const NEWEST: f64 = 0.12;
+/// Weight of the newest response in a server's failure rate, a moving average over about eight
+/// responses.
+const NEWEST_WEIGHT: f64 = 0.12;
 
-/// Share of failed answers at which a server counts as failing.
-const FAILING: f64 = 0.25;
+/// Least failure rate that is reported; a lower one counts as 0.
+const MIN_FAILURE_RATE: f64 = 0.25;
 
-/// Time constant with which failures are forgotten.
-const FORGIVEN: Duration = Duration::from_secs(8);
+/// Time constant of the failure rate's exponential decay.
+const FAILURE_DECAY: Duration = Duration::from_secs(8);
 
-/// Servers that may die under a request. One more is refused to it.
-pub const MAX_DEATHS: usize = 2;
+/// Servers that may crash under a request. After one more crash it is rejected.
+pub const MAX_CRASHES: usize = 2;
 
-/// How long deaths are held against a request.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time after the last crash until a request is no longer suspect.
+const SUSPECT_FOR: Duration = Duration::from_secs(60);
 
-/// Requests remembered. Above, the oldest go.
-const MOST_SUSPECTS: usize = 4_096;
+/// Most suspect requests stored. Beyond that, the oldest are dropped.
+const MAX_SUSPECTS: usize = 4_096;
 
 #[derive(Clone, Debug, Default)]
 struct Server {
-    /// Failures to reach it in a row.
-    missed: u32,
-    /// It is not sent anything new before this.
-    until: Duration,
-    /// Share of failed answers lately.
-    failed: f64,
-    /// When `failed` was last brought up to date.
-    at: Duration,
-    /// Factor by which it is slower than its model. 0: not known.
+    /// Consecutive failures to reach it.
+    unreachable: u32,
+    /// It is sent no new requests before this time.
+    paused_until: Duration,
+    /// Moving average of failed responses, from 0 to 1.
+    failure_rate: f64,
+    /// When `failure_rate` was last updated.
+    updated_at: Duration,
+    /// Factor by which it is slower than its time model. 0: unknown.
     pace: f64,
 }
 
-/// How backend servers did lately, by their life.
+/// The recent health of backend servers.
 #[derive(Debug, Default)]
 pub struct Health {
-    by_life: HashMap<register::Instance, Server>,
+    by_instance: HashMap<register::Instance, Server>,
 }
 
 impl Health {
-    /// It could not be reached, or died.
-    pub fn record_unreachable(&mut self, now: Duration, life: &register::Instance) -> Duration {
-        let health = self.by_life.entry(life.clone()).or_default();
-        health.missed = (health.missed + 1).min(8);
-        let pause = FIRST_PAUSE * 2u32.saturating_pow(health.missed - 1);
-        health.until = now + pause.min(LONGEST_PAUSE);
-        health.until
+    /// Notes that a server could not be reached or crashed. Returns the end of its pause.
+    pub fn record_unreachable(&mut self, now: Duration, instance: &register::Instance) -> Duration {
+        let server = self.by_instance.entry(instance.clone()).or_default();
+        server.unreachable = (server.unreachable + 1).min(8);
+        let pause = FIRST_PAUSE * 2u32.saturating_pow(server.unreachable - 1);
+        server.paused_until = now + pause.min(MAX_PAUSE);
+        server.paused_until
     }
 
-    /// It answered. `well`: as it should.
-    pub fn record_response(&mut self, now: Duration, life: &register::Instance, well: bool) {
-        let health = self.by_life.entry(life.clone()).or_default();
-        if well {
-            health.missed = 0;
-            health.until = Duration::ZERO;
+    /// Notes a response. `ok`: it was correct and in time.
+    pub fn record_response(&mut self, now: Duration, instance: &register::Instance, ok: bool) {
+        let server = self.by_instance.entry(instance.clone()).or_default();
+        if ok {
+            server.unreachable = 0;
+            server.paused_until = Duration::ZERO;
         }
-        let before = decayed(health, now);
-        health.failed = before + NEWEST * (f64::from(u8::from(!well)) - before);
-        health.at = now;
+        let before = decayed(server, now);
+        server.failure_rate = before + NEWEST_WEIGHT * (f64::from(u8::from(!ok)) - before);
+        server.updated_at = now;
     }
 
-    /// Takes what it says of its pace.
-    pub fn set_pace(&mut self, life: &register::Instance, pace: f64) {
-        self.by_life.entry(life.clone()).or_default().pace = pace;
+    /// Stores the factor by which a server is slower than its time model.
+    pub fn set_pace(&mut self, instance: &register::Instance, pace: f64) {
+        self.by_instance.entry(instance.clone()).or_default().pace = pace;
     }
 
-    /// Factor by which it is slower than its model.
-    pub fn pace(&self, life: &register::Instance) -> f64 {
-        let pace = self.by_life.get(life).map_or(1.0, |health| health.pace);
+    /// Factor by which a server is slower than its time model, 1 if unknown.
+    pub fn pace(&self, instance: &register::Instance) -> f64 {
+        let pace = self
+            .by_instance
+            .get(instance)
+            .map_or(1.0, |server| server.pace);
         if pace > 0.0 { pace } else { 1.0 }
     }
 
-    /// Whether it is not to be sent anything new now.
-    pub fn is_paused(&self, now: Duration, life: &register::Instance) -> bool {
-        self.by_life
-            .get(life)
-            .is_some_and(|health| now < health.until)
+    /// Whether a server is currently sent no new requests.
+    pub fn is_paused(&self, now: Duration, instance: &register::Instance) -> bool {
+        self.by_instance
+            .get(instance)
+            .is_some_and(|server| now < server.paused_until)
     }
 
-    /// Share of failed answers lately; under [`FAILING`] it counts as 0.
-    pub fn failure_rate(&self, now: Duration, life: &register::Instance) -> f64 {
-        let share = self
-            .by_life
-            .get(life)
-            .map_or(0.0, |health| decayed(health, now));
-        if share < FAILING { 0.0 } else { share }
+    /// Rate of failed responses, from 0 to 1; 0 if it is less than [`MIN_FAILURE_RATE`].
+    pub fn failure_rate(&self, now: Duration, instance: &register::Instance) -> f64 {
+        let rate = self
+            .by_instance
+            .get(instance)
+            .map_or(0.0, |server| decayed(server, now));
+        if rate < MIN_FAILURE_RATE { 0.0 } else { rate }
     }
 
     /// Forgets servers that are not in `known`.
     pub fn retain(&mut self, known: impl Fn(&register::Instance) -> bool) {
-        self.by_life.retain(|life, _| known(life));
+        self.by_instance.retain(|instance, _| known(instance));
     }
 }
 
-fn decayed(health: &Server, now: Duration) -> f64 {
-    let since = now.saturating_sub(health.at).as_secs_f64();
-    health.failed * (-since / FORGIVEN.as_secs_f64()).exp()
+fn decayed(server: &Server, now: Duration) -> f64 {
+    let since = now.saturating_sub(server.updated_at).as_secs_f64();
+    server.failure_rate * (-since / FAILURE_DECAY.as_secs_f64()).exp()
 }
 
-/// Requests under which servers died.
+/// Requests under which servers crashed.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    deaths: HashMap<id::Fingerprint, (HashSet<register::Instance>, Duration)>,
+    /// By request: the servers that crashed, and the time of the last crash.
+    crashes: HashMap<id::Fingerprint, (HashSet<register::Instance>, Duration)>,
 }
 
 impl Suspects {
-    /// `server` died while it ran the request. Whether that was not known yet.
-    pub fn record_death(
+    /// Notes that `server` crashed while it ran the request. Returns whether that is new.
+    pub fn record_crash(
         &mut self,
         now: Duration,
         request: id::Fingerprint,
         server: &register::Instance,
     ) -> bool {
-        if self.deaths.len() >= MOST_SUSPECTS {
+        if self.crashes.len() >= MAX_SUSPECTS {
             self.prune(now);
         }
-        let (servers, at) = self.deaths.entry(request).or_default();
+        let (servers, at) = self.crashes.entry(request).or_default();
         *at = now;
         servers.insert(server.clone())
     }
 
-    /// The request was run to its end: it kills nobody.
+    /// Clears a request that was completed without a crash.
     pub fn clear(&mut self, request: &id::Fingerprint) {
-        self.deaths.remove(request);
+        self.crashes.remove(request);
     }
 
-    /// Whether so many servers died under the request that it is not to be run again.
+    /// Whether so many servers crashed under the request that it must not run again.
     pub fn is_poison(&self, now: Duration, request: &id::Fingerprint) -> bool {
-        let deaths = self.deaths.get(request);
-        deaths.is_some_and(|(servers, at)| servers.len() > MAX_DEATHS && now < *at + REMEMBERED)
+        let crashes = self.crashes.get(request);
+        crashes.is_some_and(|(servers, at)| servers.len() > MAX_CRASHES && now < *at + SUSPECT_FOR)
     }
 
     fn prune(&mut self, now: Duration) {
-        self.deaths.retain(|_, (_, at)| now < *at + REMEMBERED);
-        if self.deaths.len() < MOST_SUSPECTS {
+        self.crashes.retain(|_, (_, at)| now < *at + SUSPECT_FOR);
+        if self.crashes.len() < MAX_SUSPECTS {
             return;
         }
-        let mut times: Vec<Duration> = self.deaths.values().map(|(_, at)| *at).collect();
+        let mut times: Vec<Duration> = self.crashes.values().map(|(_, at)| *at).collect();
         times.sort_unstable();
-        let middle = times[times.len() / 2];
-        self.deaths.retain(|_, (_, at)| *at > middle);
+        let median = times[times.len() / 2];
+        self.crashes.retain(|_, (_, at)| *at > median);
     }
 }
--- a/src/direct/sse.rs
+++ b/src/direct/sse.rs
@@ -1,37 +1,37 @@
-//! Cuts a stream of events into whole events, so that one that breaks off in the middle of an
-//! event can go on elsewhere after the last whole one.
+//! Splits a stream of server-sent events into complete events. If a stream breaks off within an
+//! event, another backend server can continue after the last complete one.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Largest event held. What is larger is no event of a model.
+/// Largest event in bytes. No model writes larger ones.
 const MAX_EVENT: usize = 1 << 20;
 
-/// One whole event with its bytes as they came.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, with the empty line that ends it.
+    /// The bytes as received, with the empty line at the end.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// The event's id, if it has one.
     pub id: Option<String>,
 }
 
-/// Gathers bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buf: BytesMut,
-    /// Bytes of `buf` that were searched already.
+    /// Bytes of `buf` already searched for the end of an event.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes bytes as they came. `false`: an event has grown past all bounds.
+    /// Adds received bytes. Returns `false` if more than 1 MiB are buffered.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
         self.buf.len() <= MAX_EVENT
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let from = self.searched.saturating_sub(3);
         let Some(end) = event_end(&self.buf, from) else {
@@ -44,19 +44,19 @@
         Some(Event { bytes, id })
     }
 
-    /// Whether bytes of an event that is not whole are held.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Bytes that belong to no whole event.
+    /// Removes and returns the buffered bytes.
     pub fn take_rest(&mut self) -> Bytes {
         self.searched = 0;
         self.buf.split().freeze()
     }
 }
 
-/// Where the event that begins `buf` ends: after its first empty line.
+/// End of the first event in `buf`, after its empty line. The search starts at `from`.
 fn event_end(buf: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while at < buf.len() {
--- a/src/direct/tally.rs
+++ b/src/direct/tally.rs
@@ -1,5 +1,5 @@
-//! What this entry sent to backend servers lately, by kind. A server counts all of it against the
-//! limit that it names, whatever it was sent for.
+//! Counts what this entry recently sent to backend servers, by purpose. A server counts all of it
+//! against the limit that it announces, whatever the purpose.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,73 +7,76 @@
 
 use super::register;
 
-/// How long something counts as sent lately.
+/// Time for which something sent is counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 
-/// What something was sent for.
+/// The purpose of something sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A caller's request.
     Request,
-    /// A question of ours on how the server is.
+    /// This entry's query for the state of the server.
     Probe,
-    /// An order of ours on its memory.
+    /// This entry's order to reserve or release memory of the server.
     Order,
 }
 
-/// How much was sent lately.
+/// Numbers sent within [`WINDOW`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Callers' requests.
     pub requests: u32,
-    /// Questions on how the server is.
+    /// Queries for the state of the server.
     pub probes: u32,
-    /// Orders on its memory.
+    /// Orders to reserve or release memory.
     pub orders: u32,
 }
 
-/// What was sent, by the life of its server.
+/// What was sent, by instance of the receiving server.
 #[derive(Debug, Default)]
 pub struct Tally {
-    by_life: HashMap<register::Instance, VecDeque<(Duration, Kind)>>,
+    by_instance: HashMap<register::Instance, VecDeque<(Duration, Kind)>>,
 }
 
 impl Tally {
-    /// Something was sent.
-    pub fn record(&mut self, now: Duration, life: &register::Instance, kind: Kind) {
-        if !self.by_life.contains_key(life) {
-            self.by_life.insert(life.clone(), VecDeque::new());
+    /// Counts something sent now.
+    pub fn record(&mut self, now: Duration, instance: &register::Instance, kind: Kind) {
+        if !self.by_instance.contains_key(instance) {
+            self.by_instance.insert(instance.clone(), VecDeque::new());
         }
-        let times = self.by_life.get_mut(life).expect("it was just added");
+        let times = self
+            .by_instance
+            .get_mut(instance)
+            .expect("it was just added");
         forget(now, times);
         times.push_back((now, kind));
     }
 
-    /// What was sent to a server lately.
-    pub fn recent(&mut self, now: Duration, life: &register::Instance) -> Counts {
-        let mut sent = Counts::default();
-        let Some(times) = self.by_life.get_mut(life) else {
-            return sent;
+    /// Numbers sent to a server within [`WINDOW`].
+    pub fn recent(&mut self, now: Duration, instance: &register::Instance) -> Counts {
+        let mut counts = Counts::default();
+        let Some(times) = self.by_instance.get_mut(instance) else {
+            return counts;
         };
         forget(now, times);
         for (_, kind) in times {
             match kind {
-                Kind::Request => sent.requests += 1,
-                Kind::Probe => sent.probes += 1,
-                Kind::Order => sent.orders += 1,
+                Kind::Request => counts.requests += 1,
+                Kind::Probe => counts.probes += 1,
+                Kind::Order => counts.orders += 1,
             }
         }
-        sent
+        counts
     }
 
-    /// Servers to which something was sent lately.
+    /// Servers to which something was sent, until [`Tally::prune`] forgets them.
     pub fn servers(&self) -> impl Iterator<Item = &register::Instance> {
-        self.by_life.keys()
+        self.by_instance.keys()
     }
 
-    /// Forgets servers to which nothing was sent lately.
+    /// Forgets servers to which nothing was sent within [`WINDOW`].
     pub fn prune(&mut self, now: Duration) {
-        self.by_life.retain(|_, times| {
+        self.by_instance.retain(|_, times| {
             forget(now, times);
             !times.is_empty()
         });
--- a/src/edge/direct/heartbeat.rs
+++ b/src/edge/direct/heartbeat.rs
@@ -94,7 +94,7 @@
     /// A server died while it ran a request.
     pub(crate) fn died(&self, request: id::Fingerprint, server: &register::Instance) {
         let now = self.node.now();
-        if self.state().suspects.record_death(now, request, server) {
+        if self.state().suspects.record_crash(now, request, server) {
             self.tell(gossip::Message::Died(request, server.clone()));
             if self.lines.allow(Event::RequestSuspect, now) {
                 log_event!(self.node.log(), Event::RequestSuspect, "server" => &server,
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -374,7 +374,7 @@
                 self.direct
                     .state()
                     .suspects
-                    .record_death(now, request, &server);
+                    .record_crash(now, request, &server);
             }
             gossip::Message::Limits(words) => self.direct.take_words(&words),
             gossip::Message::Ask(ask) => {
--- a/tests/server_faults.rs
+++ b/tests/server_faults.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use wigeonbarrow::direct::health::Health;
-use wigeonbarrow::direct::health::MAX_DEATHS;
+use wigeonbarrow::direct::health::MAX_CRASHES;
 use wigeonbarrow::direct::health::Suspects;
 use wigeonbarrow::direct::register::Instance;
 use wigeonbarrow::wire::id;
@@ -55,14 +55,14 @@
 fn poison_known() {
     let mut suspects = Suspects::default();
     let poison = request("poison");
-    for at in 0..MAX_DEATHS {
-        suspects.record_death(NOW, poison, &life(&format!("i-{at}")));
+    for at in 0..MAX_CRASHES {
+        suspects.record_crash(NOW, poison, &life(&format!("i-{at}")));
         assert!(!suspects.is_poison(NOW, &poison));
     }
     // The same death, told by two entries, counts once.
-    suspects.record_death(NOW, poison, &life("i-0"));
+    suspects.record_crash(NOW, poison, &life("i-0"));
     assert!(!suspects.is_poison(NOW, &poison));
-    suspects.record_death(NOW, poison, &life("i-9"));
+    suspects.record_crash(NOW, poison, &life("i-9"));
     assert!(suspects.is_poison(NOW, &poison));
     assert!(!suspects.is_poison(NOW, &request("innocent")));
     assert!(!suspects.is_poison(NOW + Duration::from_secs(61), &poison));
@@ -72,10 +72,10 @@
 fn finished_cleared() {
     let mut suspects = Suspects::default();
     let innocent = request("innocent");
-    suspects.record_death(NOW, innocent, &life("i-0"));
-    suspects.record_death(NOW, innocent, &life("i-1"));
+    suspects.record_crash(NOW, innocent, &life("i-0"));
+    suspects.record_crash(NOW, innocent, &life("i-1"));
     suspects.clear(&innocent);
-    suspects.record_death(NOW, innocent, &life("i-2"));
+    suspects.record_crash(NOW, innocent, &life("i-2"));
     assert!(!suspects.is_poison(NOW, &innocent));
 }
 
@@ -84,11 +84,11 @@
     let mut suspects = Suspects::default();
     for at in 0..20_000_u64 {
         let now = NOW + Duration::from_millis(at);
-        suspects.record_death(now, request(&at.to_string()), &life("i-0"));
+        suspects.record_crash(now, request(&at.to_string()), &life("i-0"));
     }
     // The newest are still held.
     let last = request("19999");
-    suspects.record_death(NOW, last, &life("i-1"));
-    suspects.record_death(NOW, last, &life("i-2"));
+    suspects.record_crash(NOW, last, &life("i-1"));
+    suspects.record_crash(NOW, last, &life("i-2"));
     assert!(suspects.is_poison(NOW, &last));
 }
