--- a/tests/catalog_routes.rs
+++ b/tests/catalog_routes.rs
@@ -1,4 +1,4 @@
-//! The checked configuration of an entry without sidecars.
+//! Validation and lookup of the configuration of an entry without sidecars.
 
 use std::time::Duration;
 
@@ -52,13 +52,17 @@
 }
 
 #[test]
-fn longest_prefix() {
+fn longest_prefix_wins() {
     let routes = vec![
         route("short", "/a/", &[("one", 1)]),
         route("long", "/a/b/", &[("two", 1)]),
     ];
     let catalog = Catalog::new(draft(routes)).expect("a sound draft");
-    let name = |path: &str| catalog.route("a.example", path).map(|one| one.name.clone());
+    let name = |path: &str| {
+        catalog
+            .route("a.example", path)
+            .map(|route| route.name.clone())
+    };
     assert_eq!(name("/a/b/c").as_deref(), Some("long"));
     assert_eq!(name("/a/c").as_deref(), Some("short"));
     assert_eq!(name("/b/"), None);
@@ -66,21 +70,24 @@
 }
 
 #[test]
-fn weighted_targets() {
+fn targets_chosen_by_weight() {
     let split = route("split", "/", &[("one", 90), ("two", 10)]);
-    let at = |draw: f64| split.target(draw).map(|one| one.service.clone());
+    let at = |draw: f64| split.target(draw).map(|target| target.service.clone());
     assert_eq!(at(0.0).as_deref(), Some("one"));
     assert_eq!(at(0.899).as_deref(), Some("one"));
     assert_eq!(at(0.9).as_deref(), Some("two"));
     assert_eq!(at(0.999).as_deref(), Some("two"));
     let off = route("off", "/", &[("one", 0), ("two", 5)]);
-    assert_eq!(off.target(0.0).map(|one| one.service.as_str()), Some("two"));
+    assert_eq!(
+        off.target(0.0).map(|target| target.service.as_str()),
+        Some("two")
+    );
 }
 
 #[test]
-fn invalid_drafts() {
-    let mut idle = route("idle", "/", &[("one", 1)]);
-    idle.timeout = Duration::ZERO;
+fn invalid_drafts_rejected() {
+    let mut no_timeout = route("idle", "/", &[("one", 1)]);
+    no_timeout.timeout = Duration::ZERO;
     let cases = [
         vec![route("unknown", "/", &[("three", 1)])],
         vec![
@@ -89,12 +96,12 @@
         ],
         vec![route("weightless", "/", &[("one", 0), ("two", 0)])],
         vec![route("nowhere", "/", &[])],
-        vec![idle],
+        vec![no_timeout],
     ];
     for routes in cases {
         let name = routes
             .last()
-            .map(|one| one.name.clone())
+            .map(|route| route.name.clone())
             .unwrap_or_default();
         let findings = Catalog::new(draft(routes)).expect_err(&name);
         assert!(findings[0].location.contains(&name), "{findings:?}");
@@ -102,18 +109,22 @@
 }
 
 #[test]
-fn shared_key() {
+fn key_of_two_workspaces_rejected() {
     let mut shared = draft(Vec::new());
     shared.workspaces = vec![workspace("one", &["k", "l"]), workspace("two", &["k"])];
     assert_matches!(Catalog::new(shared), Err(findings) if findings.len() == 1);
 }
 
 #[test]
-fn several_keys() {
+fn workspace_found_by_any_key() {
     let mut keyed = draft(Vec::new());
     keyed.workspaces = vec![workspace("one", &["k", "l"]), workspace("two", &["m"])];
     let catalog = Catalog::new(keyed).expect("a sound draft");
-    let name = |key: &str| catalog.workspace(key).map(|one| one.name.clone());
+    let name = |key: &str| {
+        catalog
+            .workspace(key)
+            .map(|workspace| workspace.name.clone())
+    };
     assert_eq!(name("l").as_deref(), Some("one"));
     assert_eq!(name("m").as_deref(), Some("two"));
     assert_eq!(name("n"), None);
--- a/tests/entry_roster.rs
+++ b/tests/entry_roster.rs
@@ -1,5 +1,5 @@
-//! Processes that find each other by greetings, in memory: how soon all know all, and what a greeting
-//! names once they do.
+//! Simulated processes that discover each other by greetings. Guards against processes that stay
+//! unknown to others after a start or restart, and against greetings that grow with their number.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,54 +12,59 @@
 use wigeonbarrow::direct::membership::Membership;
 use wigeonbarrow::wire::id;
 
-const HELLO: Duration = Duration::from_millis(400);
-const KNOCK: Duration = Duration::from_millis(100);
-/// Way of a datagram.
-const WAY: Duration = Duration::from_millis(1);
-/// Share of the datagrams that are lost.
+/// Time between a process's regular greetings.
+const GREETING_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between greetings of seeds that were not heard from yet.
+const SEED_INTERVAL: Duration = Duration::from_millis(100);
+/// Network latency of a datagram.
+const LATENCY: Duration = Duration::from_millis(1);
+/// Fraction of the datagrams that are lost.
 const LOSS: f64 = 0.05;
 const SEEDS: usize = 3;
-/// Time within which processes of one start begin.
-const START: u64 = 300;
+/// Time within which all processes of a simulation start.
+const START_MS: u64 = 300;
 
 struct Process {
     peer: Peer,
-    roster: Membership,
+    membership: Membership,
     starts: Duration,
 }
 
-enum What {
+enum Event {
+    /// A process sends its regular greeting.
     Greet,
-    Knock,
+    /// A process greets the seeds that it has not heard from.
+    GreetSeeds,
+    /// A greeting arrives: its sender and the addresses that it lists.
     Hello(Peer, Vec<SocketAddr>),
 }
 
 struct Net {
     processes: Vec<Process>,
-    /// By time and a number that keeps them apart: to whom, and what.
-    due: BTreeMap<(Duration, u64), (usize, What)>,
-    count: u64,
-    draw: StdRng,
-    /// Names sent in periodic greetings, and such greetings.
-    named: (usize, usize),
+    /// The process and its event, by time and a sequence number.
+    queue: BTreeMap<(Duration, u64), (usize, Event)>,
+    seq: u64,
+    rng: StdRng,
+    /// Number of addresses listed in regular greetings, and of these greetings.
+    listed: (usize, usize),
 }
 
-fn addr(at: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (at >> 8) as u8, at as u8], 7_000))
+fn addr(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7_000))
 }
 
 fn index(addr: SocketAddr) -> usize {
     let SocketAddr::V4(addr) = addr else {
-        panic!("{addr} is one of ours");
+        panic!("{addr} is not an address of the simulation");
     };
     let [_, _, high, low] = addr.ip().octets();
     usize::from(high) << 8 | usize::from(low)
 }
 
-fn peer(at: usize, life: u64) -> Peer {
+fn peer(index: usize, incarnation: u64) -> Peer {
     Peer {
-        link: addr(at),
-        life: id::Incarnation(life),
+        link: addr(index),
+        life: id::Incarnation(incarnation),
         zone: "a".to_owned(),
         votes: false,
         leads: false,
@@ -73,186 +78,195 @@
     fn new(seed: u64, count: usize) -> Self {
         let mut net = Self {
             processes: Vec::new(),
-            due: BTreeMap::new(),
-            count: 0,
-            draw: StdRng::seed_from_u64(seed),
-            named: (0, 0),
+            queue: BTreeMap::new(),
+            seq: 0,
+            rng: StdRng::seed_from_u64(seed),
+            listed: (0, 0),
         };
-        for at in 0..count {
-            let starts = Duration::from_millis(net.draw.random_range(0..START));
-            net.start(at, 1, starts);
+        for index in 0..count {
+            let starts = Duration::from_millis(net.rng.random_range(0..START_MS));
+            net.start(index, 1, starts);
         }
         net
     }
 
-    fn start(&mut self, at: usize, life: u64, starts: Duration) {
+    fn start(&mut self, index: usize, incarnation: u64, starts: Duration) {
         let process = Process {
-            peer: peer(at, life),
-            roster: Membership::default(),
+            peer: peer(index, incarnation),
+            membership: Membership::default(),
             starts,
         };
-        if at < self.processes.len() {
-            self.processes[at] = process;
+        if index < self.processes.len() {
+            self.processes[index] = process;
         } else {
             self.processes.push(process);
         }
-        self.plan(starts, at, What::Greet);
-        for knock in 1..20 {
-            self.plan(starts + KNOCK * knock, at, What::Knock);
+        self.schedule(starts, index, Event::Greet);
+        for round in 1..20 {
+            self.schedule(starts + SEED_INTERVAL * round, index, Event::GreetSeeds);
         }
     }
 
-    fn plan(&mut self, now: Duration, to: usize, what: What) {
-        self.count += 1;
-        self.due.insert((now, self.count), (to, what));
+    fn schedule(&mut self, at: Duration, to: usize, event: Event) {
+        self.seq += 1;
+        self.queue.insert((at, self.seq), (to, event));
     }
 
-    fn hello(&mut self, now: Duration, from: usize, names: &[SocketAddr], to: &[SocketAddr]) {
+    fn send(&mut self, now: Duration, from: usize, listed: &[SocketAddr], to: &[SocketAddr]) {
         for target in to {
-            if !self.draw.random_bool(LOSS) {
-                let what = What::Hello(self.processes[from].peer.clone(), names.to_vec());
-                self.plan(now + WAY, index(*target), what);
+            if !self.rng.random_bool(LOSS) {
+                let event = Event::Hello(self.processes[from].peer.clone(), listed.to_vec());
+                self.schedule(now + LATENCY, index(*target), event);
             }
         }
     }
 
-    /// Plays until `end`.
-    fn play(&mut self, end: Duration) {
-        while let Some(entry) = self.due.first_entry() {
+    /// Runs the simulation until `end`.
+    fn run(&mut self, end: Duration) {
+        while let Some(entry) = self.queue.first_entry() {
             let now = entry.key().0;
             if now > end {
                 return;
             }
-            let (at, what) = entry.remove();
-            match what {
-                What::Greet => self.greet(now, at),
-                What::Knock => self.knock(now, at),
-                What::Hello(from, names) if now >= self.processes[at].starts => {
-                    self.take(now, at, &from, &names);
+            let (index, event) = entry.remove();
+            match event {
+                Event::Greet => self.greet(now, index),
+                Event::GreetSeeds => self.greet_seeds(now, index),
+                Event::Hello(from, listed) if now >= self.processes[index].starts => {
+                    self.receive(now, index, &from, &listed);
                 }
-                What::Hello(..) => {}
+                Event::Hello(..) => {}
             }
         }
     }
 
-    fn greet(&mut self, now: Duration, at: usize) {
+    fn greet(&mut self, now: Duration, index: usize) {
         let seeds: Vec<SocketAddr> = (0..SEEDS).map(addr).collect();
-        let roster = &mut self.processes[at].roster;
-        roster.expire(now);
-        let names = roster.next_greeting(now);
-        let targets = roster.greeting_targets(addr(at), &seeds);
-        self.named.0 += names.len();
-        self.named.1 += 1;
-        self.hello(now, at, &names, &targets);
-        self.plan(now + HELLO, at, What::Greet);
+        let membership = &mut self.processes[index].membership;
+        membership.expire(now);
+        let listed = membership.next_greeting(now);
+        let targets = membership.greeting_targets(addr(index), &seeds);
+        self.listed.0 += listed.len();
+        self.listed.1 += 1;
+        self.send(now, index, &listed, &targets);
+        self.schedule(now + GREETING_INTERVAL, index, Event::Greet);
     }
 
-    fn knock(&mut self, now: Duration, at: usize) {
+    fn greet_seeds(&mut self, now: Duration, index: usize) {
         let seeds: Vec<SocketAddr> = (0..SEEDS).map(addr).collect();
-        let unheard = self.processes[at].roster.unheard_seeds(addr(at), &seeds);
-        self.hello(now, at, &[], &unheard);
+        let unheard = self.processes[index]
+            .membership
+            .unheard_seeds(addr(index), &seeds);
+        self.send(now, index, &[], &unheard);
     }
 
-    fn take(&mut self, now: Duration, at: usize, from: &Peer, names: &[SocketAddr]) {
-        let roster = &mut self.processes[at].roster;
-        if roster.observe(now, from) {
-            let all: Vec<SocketAddr> = roster.live().map(|one| one.link).collect();
-            self.hello(now, at, &all, &[from.link]);
+    fn receive(&mut self, now: Duration, index: usize, from: &Peer, listed: &[SocketAddr]) {
+        let membership = &mut self.processes[index].membership;
+        if membership.observe(now, from) {
+            let all: Vec<SocketAddr> = membership.live().map(|peer| peer.link).collect();
+            self.send(now, index, &all, &[from.link]);
         }
-        let roster = &mut self.processes[at].roster;
-        let strangers = roster.add_reported(now, addr(at), names);
-        self.hello(now, at, &[], &strangers);
+        let membership = &mut self.processes[index].membership;
+        let unknown = membership.add_reported(now, addr(index), listed);
+        self.send(now, index, &[], &unknown);
     }
 
-    /// Pairs of which one does not know the other.
-    fn strangers(&self) -> usize {
+    /// Number of pairs in which the first process does not know the second.
+    fn unknown_pairs(&self) -> usize {
         let count = self.processes.len();
-        let known = self
+        let unknown = self
             .processes
             .iter()
-            .map(|one| count - 1 - one.roster.live().count());
-        known.sum()
+            .map(|process| count - 1 - process.membership.live().count());
+        unknown.sum()
     }
 }
 
-/// All that start within 0.3 s know each other 0.15 s later but for what was lost, and all
-/// within 2 s, before silence counts.
+/// Processes that start within 0.3 s know nearly all others 0.15 s later, despite lost datagrams, and
+/// all within 2 s, before any is considered gone.
 #[test]
-fn started_together() {
+fn simultaneous_start_discovers_all() {
     for count in [5, 70, 200] {
         let mut net = Net::new(1, count);
-        net.play(Duration::from_millis(START + 150));
+        net.run(Duration::from_millis(START_MS + 150));
         let pairs = count * (count - 1);
-        let early = net.strangers();
-        net.play(Duration::from_millis(START + 2_000));
+        let early = net.unknown_pairs();
+        net.run(Duration::from_millis(START_MS + 2_000));
         println!(
-            "{count}: {early} of {pairs} strangers after 0.15 s, then {}",
-            net.strangers()
+            "{count}: {early} of {pairs} pairs unknown after 0.15 s, then {}",
+            net.unknown_pairs()
         );
         assert!(early * 10 <= pairs, "{count}: {early} of {pairs}");
-        assert_eq!(net.strangers(), 0, "{count}");
+        assert_eq!(net.unknown_pairs(), 0, "{count}");
     }
 }
 
-/// What a greeting names does not grow with the processes once they know each other.
+/// The size of a greeting does not grow with the number of processes once they know each other.
 #[test]
 fn greetings_stay_small() {
     for count in [20, 70, 200] {
         let mut net = Net::new(2, count);
-        net.play(Duration::from_secs(4));
-        net.named = (0, 0);
-        net.play(Duration::from_secs(8));
-        let a_greeting = net.named.0 as f64 / net.named.1 as f64;
-        assert!(a_greeting <= 8.0, "{count}: {a_greeting}");
-        assert_eq!(net.strangers(), 0, "{count}");
+        net.run(Duration::from_secs(4));
+        net.listed = (0, 0);
+        net.run(Duration::from_secs(8));
+        let per_greeting = net.listed.0 as f64 / net.listed.1 as f64;
+        assert!(per_greeting <= 8.0, "{count}: {per_greeting}");
+        assert_eq!(net.unknown_pairs(), 0, "{count}");
     }
 }
 
-/// A tenth that start again under new lives are known again, and know all, within 0.2 s but for
-/// what was lost, and then within 2 s.
+/// A tenth of the processes restart. Within 0.2 s they know nearly all others and are known to them,
+/// despite lost datagrams, and fully within 2 s.
 #[test]
-fn tenth_restarts() {
+fn restarted_tenth_rediscovered() {
     let mut net = Net::new(3, 70);
-    net.play(Duration::from_secs(4));
-    let again = Duration::from_secs(4);
-    for at in (5..70).step_by(10) {
-        // What it had planned goes with it.
-        net.due
-            .retain(|_, (to, what)| *to != at || matches!(what, What::Hello(..)));
-        net.start(at, 2, again);
+    net.run(Duration::from_secs(4));
+    let restart = Duration::from_secs(4);
+    for index in (5..70).step_by(10) {
+        // Its own scheduled events end with the old process.
+        net.queue
+            .retain(|_, (to, event)| *to != index || matches!(event, Event::Hello(..)));
+        net.start(index, 2, restart);
     }
-    net.play(again + Duration::from_millis(200));
-    let strangers = net.strangers();
-    assert!(strangers <= 70, "{strangers}");
-    net.play(again + Duration::from_secs(2));
-    assert_eq!(net.strangers(), 0);
-    let life = |one: &Process| one.roster.live().filter(|peer| peer.life.0 == 2).count();
-    for (at, process) in net.processes.iter().enumerate() {
-        let own = usize::from(at >= 5 && (at - 5).is_multiple_of(10));
-        assert_eq!(life(process), 7 - own, "{at}");
+    net.run(restart + Duration::from_millis(200));
+    let unknown = net.unknown_pairs();
+    assert!(unknown <= 70, "{unknown}");
+    net.run(restart + Duration::from_secs(2));
+    assert_eq!(net.unknown_pairs(), 0);
+    let restarted = |process: &Process| {
+        process
+            .membership
+            .live()
+            .filter(|peer| peer.life.0 == 2)
+            .count()
+    };
+    for (index, process) in net.processes.iter().enumerate() {
+        let own = usize::from(index >= 5 && (index - 5).is_multiple_of(10));
+        assert_eq!(restarted(process), 7 - own, "{index}");
     }
 }
 
-/// A leader that has gone is asked after those that are there, also while it is still remembered.
+/// A leader that is gone is asked after the running voters while it is still known, so that requests
+/// don't wait for it.
 #[test]
-fn gone_leader_last() {
-    let mut roster = Membership::default();
-    let voter = |at: usize, leads: bool| Peer {
+fn gone_leader_asked_last() {
+    let mut membership = Membership::default();
+    let voter = |index: usize, leads: bool| Peer {
         votes: true,
         leads,
-        ..peer(at, 1)
+        ..peer(index, 1)
     };
-    let order = |roster: &Membership| -> Vec<usize> {
-        let voters = roster.voters();
-        voters.iter().map(|one| index(one.link)).collect()
+    let order = |membership: &Membership| -> Vec<usize> {
+        let voters = membership.voters();
+        voters.iter().map(|voter| index(voter.link)).collect()
     };
-    roster.observe(Duration::ZERO, &voter(2, true));
-    roster.observe(Duration::ZERO, &voter(1, false));
-    roster.observe(Duration::ZERO, &peer(0, 1));
-    assert_eq!(order(&roster), [2, 1]);
+    membership.observe(Duration::ZERO, &voter(2, true));
+    membership.observe(Duration::ZERO, &voter(1, false));
+    membership.observe(Duration::ZERO, &peer(0, 1));
+    assert_eq!(order(&membership), [2, 1]);
     let later = Duration::from_secs(4);
-    roster.observe(later, &voter(1, false));
-    roster.observe(later, &voter(3, true));
-    roster.expire(later);
-    assert_eq!(order(&roster), [3, 1, 2]);
+    membership.observe(later, &voter(1, false));
+    membership.observe(later, &voter(3, true));
+    membership.expire(later);
+    assert_eq!(order(&membership), [3, 1, 2]);
 }
--- a/tests/retry_verdicts.rs
+++ b/tests/retry_verdicts.rs
@@ -1,4 +1,7 @@
-//! What follows from the end of an attempt, and what a caller may be told.
+//! Retry decisions after failed attempts, the replies to callers, and the shared retry budget.
+//!
+//! Guards against requests that run twice though they must not, and against replies that say "not
+//! run" of a request that may have run.
 
 use std::time::Duration;
 
@@ -37,7 +40,7 @@
     }
 }
 
-fn ends() -> Vec<Failure> {
+fn failures() -> Vec<Failure> {
     vec![
         Failure::Unsent,
         not_run(),
@@ -49,61 +52,74 @@
     ]
 }
 
-fn past(ran: u32) -> History {
+fn history(ran: u32) -> History {
     History { ran, tried: 1 }
 }
 
 #[test]
-fn unsafe_once() {
+fn unrepeatable_runs_once() {
     for route in [route(Kind::Unsafe, true), route(Kind::Stream, false)] {
-        for end in ends() {
-            let ran = u32::from(!end.not_run());
-            let again = retry::is_allowed(&route, &end, past(ran), LEFT);
-            assert_eq!(again, end.not_run(), "{end:?}");
+        for failure in failures() {
+            let ran = u32::from(!failure.not_run());
+            let allowed = retry::is_allowed(&route, &failure, history(ran), LEFT);
+            assert_eq!(allowed, failure.not_run(), "{failure:?}");
         }
     }
 }
 
 #[test]
-fn most_servers() {
+fn servers_per_request_limited() {
     let safe = route(Kind::Safe, false);
-    assert!(retry::is_allowed(&safe, &Failure::Broken, past(1), LEFT));
-    assert!(!retry::is_allowed(&safe, &Failure::Broken, past(2), LEFT));
+    assert!(retry::is_allowed(&safe, &Failure::Broken, history(1), LEFT));
+    assert!(!retry::is_allowed(
+        &safe,
+        &Failure::Broken,
+        history(2),
+        LEFT
+    ));
     let stream = route(Kind::Stream, true);
-    assert!(retry::is_allowed(&stream, &Failure::Slow, past(1), LEFT));
-    assert!(!retry::is_allowed(&stream, &Failure::Slow, past(2), LEFT));
+    assert!(retry::is_allowed(&stream, &Failure::Slow, history(1), LEFT));
+    assert!(!retry::is_allowed(
+        &stream,
+        &Failure::Slow,
+        history(2),
+        LEFT
+    ));
 }
 
 #[test]
-fn no_time() {
+fn no_retry_after_deadline() {
     let safe = route(Kind::Safe, false);
     assert!(!retry::is_allowed(
         &safe,
         &Failure::Unsent,
-        past(0),
+        history(0),
         Duration::ZERO
     ));
-    assert!(!retry::is_allowed(&safe, &Failure::Late, past(0), LEFT));
+    assert!(!retry::is_allowed(&safe, &Failure::Late, history(0), LEFT));
 }
 
-/// "Not run" is only said of what never ran, whatever the last attempt came to.
+/// A reply says "not run" only if no attempt may have run, however the last attempt failed.
 #[test]
-fn truthful_refusals() {
-    for end in ends() {
+fn busy_only_if_not_run() {
+    for failure in failures() {
         for ran in 0..3 {
-            let refusal = retry::reply(&end, past(ran), LEFT);
-            let said_not_run = matches!(refusal, Reply::Busy(_));
-            assert!(!(said_not_run && ran > 0), "{end:?} {ran}");
+            let reply = retry::reply(&failure, history(ran), LEFT);
+            let says_not_run = matches!(reply, Reply::Busy(_));
+            assert!(!(says_not_run && ran > 0), "{failure:?} {ran}");
         }
     }
-    assert_matches!(retry::reply(&not_run(), past(0), LEFT), Reply::Busy(after) if !after.is_zero());
-    assert_eq!(retry::reply(&not_run(), past(1), LEFT), Reply::Failed);
-    assert_eq!(retry::reply(&Failure::Late, past(1), LEFT), Reply::TimedOut);
+    assert_matches!(retry::reply(&not_run(), history(0), LEFT), Reply::Busy(after) if !after.is_zero());
+    assert_eq!(retry::reply(&not_run(), history(1), LEFT), Reply::Failed);
+    assert_eq!(
+        retry::reply(&Failure::Late, history(1), LEFT),
+        Reply::TimedOut
+    );
 }
 
-/// Entries that cannot ask each other keep the bound together.
+/// Entries that do not communicate keep within the limit together.
 #[test]
-fn shared_budget() {
+fn entries_share_budget() {
     let limit = budget::Limit {
         ratio: 0.2,
         window: Duration::from_secs(10),
@@ -127,12 +143,12 @@
     assert!(f64::from(spent) <= bound, "{spent} of {bound}");
     assert!(
         f64::from(spent) > bound / 3.0,
-        "{spent} of {bound}: far too few"
+        "{spent} of {bound}: too few retries allowed"
     );
 }
 
 #[test]
-fn budget_slides() {
+fn budget_renewed_after_window() {
     let limit = budget::Limit {
         ratio: 0.0,
         window: Duration::from_secs(10),
@@ -140,51 +156,70 @@
     };
     let mut budget = budget::Budget::new(limit);
     let start = Duration::from_secs(1);
-    let mut first = 0;
+    let mut spent = 0;
     while budget.try_spend(start, "pool", 1) {
-        first += 1;
+        spent += 1;
     }
     let within = start + limit.window.mul_f64(0.999);
     assert!(!budget.try_spend(within, "pool", 1));
     assert!(budget.try_spend(start + limit.window, "pool", 1));
-    assert!(first > 0);
+    assert!(spent > 0);
 }
 
-/// A server that breaks off calls that may not be repeated is taken out by all entries with the first
-/// one; where they may, another server answers, and the caller sees nothing.
+/// A server that breaks off a call that may not be repeated is avoided by all entries after the first
+/// such call. A call that may be repeated is answered by another server instead.
 #[test]
-fn broken_suspects() {
-    for end in ends() {
-        let is_broken = matches!(end, Failure::Broken);
+fn broken_unrepeatable_suspects_server() {
+    for failure in failures() {
+        let is_broken = matches!(failure, Failure::Broken);
         let once = route(Kind::Unsafe, false);
-        assert_eq!(retry::suspects_server(&once, &end), is_broken, "{end:?}");
-        let again = route(Kind::Safe, false);
-        assert!(!retry::suspects_server(&again, &end), "{end:?}");
+        assert_eq!(
+            retry::suspects_server(&once, &failure),
+            is_broken,
+            "{failure:?}"
+        );
+        let repeatable = route(Kind::Safe, false);
+        assert!(
+            !retry::suspects_server(&repeatable, &failure),
+            "{failure:?}"
+        );
     }
 }
 
-/// Servers that take no more: the caller comes back when they do, and nobody tries at once again.
+/// If the servers' rate limits are used up, the caller is told when to retry, and the entry itself
+/// does not retry.
 #[test]
-fn limited_come_back() {
-    let end = Failure::Limited(Duration::from_millis(830));
-    let refusal = retry::reply(&end, past(0), LEFT);
-    assert_eq!(refusal, Reply::Busy(Duration::from_millis(830)));
-    assert_eq!(retry::reply(&end, past(1), LEFT), Reply::Failed);
+fn limited_tells_retry_after() {
+    let failure = Failure::Limited(Duration::from_millis(830));
+    let reply = retry::reply(&failure, history(0), LEFT);
+    assert_eq!(reply, Reply::Busy(Duration::from_millis(830)));
+    assert_eq!(retry::reply(&failure, history(1), LEFT), Reply::Failed);
     for kind in [Kind::Safe, Kind::Unsafe, Kind::Stream] {
-        assert!(!retry::is_allowed(&route(kind, true), &end, past(0), LEFT));
+        assert!(!retry::is_allowed(
+            &route(kind, true),
+            &failure,
+            history(0),
+            LEFT
+        ));
     }
 }
 
-/// A process that ends sends its callers elsewhere at once, and says "not run" only of what did not.
+/// A stopping process sends its callers to other entries at once, and says "not run" only of requests
+/// that did not run.
 #[test]
-fn ending_elsewhere() {
-    let end = Failure::Ending;
+fn stopping_process_redirects() {
+    let failure = Failure::Ending;
     assert_eq!(
-        retry::reply(&end, past(0), LEFT),
+        retry::reply(&failure, history(0), LEFT),
         Reply::Busy(Duration::ZERO)
     );
-    assert_eq!(retry::reply(&end, past(1), LEFT), Reply::Failed);
+    assert_eq!(retry::reply(&failure, history(1), LEFT), Reply::Failed);
     for kind in [Kind::Safe, Kind::Unsafe, Kind::Stream] {
-        assert!(!retry::is_allowed(&route(kind, true), &end, past(0), LEFT));
+        assert!(!retry::is_allowed(
+            &route(kind, true),
+            &failure,
+            history(0),
+            LEFT
+        ));
     }
 }
--- a/tests/server_faults.rs
+++ b/tests/server_faults.rs
@@ -1,4 +1,7 @@
-//! What is held against servers and requests, and for how long.
+//! Pauses and failure rates of servers, and requests under which servers crash.
+//!
+//! Guards against servers that stay paused or rated as failing after they recovered, and against
+//! requests that crash one server after another.
 
 use std::time::Duration;
 
@@ -10,7 +13,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn life(id: &str) -> Instance {
+fn instance(id: &str) -> Instance {
     Instance::new(id, None)
 }
 
@@ -19,76 +22,76 @@
 }
 
 #[test]
-fn pause_grows() {
-    let mut healths = Health::default();
-    let first = healths.record_unreachable(NOW, &life("a"));
-    let second = healths.record_unreachable(NOW, &life("a"));
+fn pause_grows_and_ends_with_response() {
+    let mut health = Health::default();
+    let first = health.record_unreachable(NOW, &instance("a"));
+    let second = health.record_unreachable(NOW, &instance("a"));
     assert!(second > first);
     let last = (0..20)
-        .map(|_| healths.record_unreachable(NOW, &life("a")))
+        .map(|_| health.record_unreachable(NOW, &instance("a")))
         .last();
     assert!(last.is_some_and(|until| until <= NOW + Duration::from_secs(4)));
-    assert!(healths.is_paused(NOW, &life("a")));
-    healths.record_response(NOW, &life("a"), true);
+    assert!(health.is_paused(NOW, &instance("a")));
+    health.record_response(NOW, &instance("a"), true);
     assert!(
-        !healths.is_paused(NOW, &life("a")),
-        "it is back with its first answer"
+        !health.is_paused(NOW, &instance("a")),
+        "its first response ends the pause"
     );
 }
 
 #[test]
-fn failing_forgiven() {
-    let mut healths = Health::default();
+fn failure_rate_decays() {
+    let mut health = Health::default();
     for _ in 0..10 {
-        healths.record_response(NOW, &life("a"), false);
+        health.record_response(NOW, &instance("a"), false);
     }
-    assert!(healths.failure_rate(NOW, &life("a")) > 0.5);
-    assert!(healths.failure_rate(NOW + Duration::from_secs(30), &life("a")) <= 0.0);
-    healths.record_response(NOW, &life("b"), false);
+    assert!(health.failure_rate(NOW, &instance("a")) > 0.5);
+    assert!(health.failure_rate(NOW + Duration::from_secs(30), &instance("a")) <= 0.0);
+    health.record_response(NOW, &instance("b"), false);
     assert!(
-        healths.failure_rate(NOW, &life("b")) <= 0.0,
-        "one failure is none"
+        health.failure_rate(NOW, &instance("b")) <= 0.0,
+        "a single failure does not count"
     );
 }
 
 #[test]
-fn poison_known() {
+fn poison_request_rejected() {
     let mut suspects = Suspects::default();
     let poison = request("poison");
-    for at in 0..MAX_CRASHES {
-        suspects.record_crash(NOW, poison, &life(&format!("i-{at}")));
+    for number in 0..MAX_CRASHES {
+        suspects.record_crash(NOW, poison, &instance(&format!("i-{number}")));
         assert!(!suspects.is_poison(NOW, &poison));
     }
-    // The same death, told by two entries, counts once.
-    suspects.record_crash(NOW, poison, &life("i-0"));
+    // The same crash, reported by two entries, counts once.
+    suspects.record_crash(NOW, poison, &instance("i-0"));
     assert!(!suspects.is_poison(NOW, &poison));
-    suspects.record_crash(NOW, poison, &life("i-9"));
+    suspects.record_crash(NOW, poison, &instance("i-9"));
     assert!(suspects.is_poison(NOW, &poison));
     assert!(!suspects.is_poison(NOW, &request("innocent")));
     assert!(!suspects.is_poison(NOW + Duration::from_secs(61), &poison));
 }
 
 #[test]
-fn finished_cleared() {
+fn completed_request_cleared() {
     let mut suspects = Suspects::default();
     let innocent = request("innocent");
-    suspects.record_crash(NOW, innocent, &life("i-0"));
-    suspects.record_crash(NOW, innocent, &life("i-1"));
+    suspects.record_crash(NOW, innocent, &instance("i-0"));
+    suspects.record_crash(NOW, innocent, &instance("i-1"));
     suspects.clear(&innocent);
-    suspects.record_crash(NOW, innocent, &life("i-2"));
+    suspects.record_crash(NOW, innocent, &instance("i-2"));
     assert!(!suspects.is_poison(NOW, &innocent));
 }
 
 #[test]
-fn bounded_memory() {
+fn oldest_suspects_dropped() {
     let mut suspects = Suspects::default();
-    for at in 0..20_000_u64 {
-        let now = NOW + Duration::from_millis(at);
-        suspects.record_crash(now, request(&at.to_string()), &life("i-0"));
+    for number in 0..20_000_u64 {
+        let now = NOW + Duration::from_millis(number);
+        suspects.record_crash(now, request(&number.to_string()), &instance("i-0"));
     }
-    // The newest are still held.
+    // The newest are still stored.
     let last = request("19999");
-    suspects.record_crash(NOW, last, &life("i-1"));
-    suspects.record_crash(NOW, last, &life("i-2"));
+    suspects.record_crash(NOW, last, &instance("i-1"));
+    suspects.record_crash(NOW, last, &instance("i-2"));
     assert!(suspects.is_poison(NOW, &last));
 }
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -1,4 +1,5 @@
-//! A backend server that starts again under its id: nothing of the life before holds for it.
+//! Backend servers that restart with the same id: nothing known about the previous instance may
+//! apply to the next one, and late messages about it must not end the next one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,13 +16,13 @@
 const NOW: Duration = Duration::from_secs(10);
 const LATER: Duration = Duration::from_secs(20);
 
-fn life(id: &str, born: u64) -> Instance {
+fn instance(id: &str, born: u64) -> Instance {
     Instance::new(id, Some(born))
 }
 
-fn record(life: Instance, port: u16, seq: u64, phase: Phase) -> Record {
+fn record(instance: Instance, port: u16, seq: u64, phase: Phase) -> Record {
     Record {
-        life,
+        life: instance,
         service: "pool".to_owned(),
         addr: SocketAddr::from(([10, 0, 0, 1], port)),
         zone: "a".to_owned(),
@@ -31,135 +32,155 @@
     }
 }
 
-fn beat(born: u64, seq: u64, phase: Phase) -> Record {
-    record(life("a", born), 1, seq, phase)
+fn heartbeat(born: u64, seq: u64, phase: Phase) -> Record {
+    record(instance("a", born), 1, seq, phase)
 }
 
 fn ready(register: &Register) -> Vec<Instance> {
     let ready = register.ready(NOW, "pool");
-    let mut lives: Vec<Instance> = ready.map(|(one, _)| one.life.clone()).collect();
-    lives.sort_by_key(ToString::to_string);
-    lives
+    let mut instances: Vec<Instance> = ready.map(|(record, _)| record.life.clone()).collect();
+    instances.sort_by_key(ToString::to_string);
+    instances
 }
 
 #[test]
-fn while_draining() {
+fn restart_while_draining() {
     let mut register = Register::default();
-    register.merge(NOW, beat(100, 900, Phase::Draining), true);
+    register.merge(NOW, heartbeat(100, 900, Phase::Draining), true);
     assert!(ready(&register).is_empty());
-    let taken = register.merge(NOW, beat(200, 1, Phase::Ready), true);
-    assert_eq!(taken, Update::New);
-    assert_eq!(ready(&register), [life("a", 200)], "its counts start anew");
+    let update = register.merge(NOW, heartbeat(200, 1, Phase::Ready), true);
+    assert_eq!(update, Update::New);
+    assert_eq!(
+        ready(&register),
+        [instance("a", 200)],
+        "its sequence numbers start anew"
+    );
 }
 
 #[test]
-fn after_leave() {
+fn restart_after_leave() {
     let mut register = Register::default();
-    register.merge(NOW, beat(100, 9, Phase::Ready), true);
-    for word in [Some(100), None] {
-        let mut register = register_of(&register);
-        register.mark_gone(NOW, Instance::new("a", word));
-        assert!(ready(&register).is_empty(), "{word:?}");
-        register.merge(NOW, beat(100, 10, Phase::Ready), true);
-        assert!(ready(&register).is_empty(), "the life that left is over");
-        register.merge(NOW, beat(200, 1, Phase::Ready), true);
-        assert_eq!(ready(&register), [life("a", 200)], "{word:?}");
+    register.merge(NOW, heartbeat(100, 9, Phase::Ready), true);
+    for born in [Some(100), None] {
+        let mut register = copy_of(&register);
+        register.mark_gone(NOW, Instance::new("a", born));
+        assert!(ready(&register).is_empty(), "{born:?}");
+        register.merge(NOW, heartbeat(100, 10, Phase::Ready), true);
+        assert!(
+            ready(&register).is_empty(),
+            "the instance that left stays gone"
+        );
+        register.merge(NOW, heartbeat(200, 1, Phase::Ready), true);
+        assert_eq!(ready(&register), [instance("a", 200)], "{born:?}");
     }
 }
 
-/// Another register with what one holds.
-fn register_of(one: &Register) -> Register {
-    let mut other = Register::default();
-    for record in one.all() {
-        other.merge(NOW, record.clone(), false);
+/// A new register with the same records.
+fn copy_of(register: &Register) -> Register {
+    let mut copy = Register::default();
+    for record in register.all() {
+        copy.merge(NOW, record.clone(), false);
     }
-    other
+    copy
 }
 
 #[test]
-fn former_delayed() {
+fn late_heartbeat_of_former_instance() {
     let mut register = Register::default();
-    register.merge(NOW, beat(200, 1, Phase::Ready), true);
+    register.merge(NOW, heartbeat(200, 1, Phase::Ready), true);
     for (seq, phase) in [(900, Phase::Ready), (901, Phase::Draining)] {
-        let taken = register.merge(NOW, beat(100, seq, phase), true);
-        assert_eq!(taken, Update::Stale);
+        let update = register.merge(NOW, heartbeat(100, seq, phase), true);
+        assert_eq!(update, Update::Stale);
     }
-    assert_eq!(register.mark_gone(NOW, life("a", 100)), None);
-    assert_eq!(ready(&register), [life("a", 200)]);
-    let next = register.merge(NOW, beat(200, 2, Phase::Ready), true);
-    assert_eq!(next, Update::Same, "its own count goes on");
+    assert_eq!(register.mark_gone(NOW, instance("a", 100)), None);
+    assert_eq!(ready(&register), [instance("a", 200)]);
+    let next = register.merge(NOW, heartbeat(200, 2, Phase::Ready), true);
+    assert_eq!(next, Update::Same, "its own sequence numbers continue");
 }
 
 #[test]
-fn unsettled_word() {
+fn leave_without_start_may_be_older() {
     let mut register = Register::default();
-    register.merge(NOW, beat(200, 1, Phase::Ready), true);
-    let word = Register::default().mark_gone(NOW, Instance::new("a", None));
-    let word = word.expect("a record");
-    assert_eq!(register.merge(NOW, word.clone(), false), Update::Stale);
-    assert_eq!(ready(&register).len(), 1, "it may be on the life before");
-    assert_eq!(register.merge(LATER, word, false), Update::Changed);
-    assert!(ready(&register).is_empty(), "no other life can be meant");
+    register.merge(NOW, heartbeat(200, 1, Phase::Ready), true);
+    let gone = Register::default().mark_gone(NOW, Instance::new("a", None));
+    let gone = gone.expect("a record");
+    assert_eq!(register.merge(NOW, gone.clone(), false), Update::Stale);
+    assert_eq!(
+        ready(&register).len(),
+        1,
+        "it may be about the previous instance"
+    );
+    assert_eq!(register.merge(LATER, gone, false), Update::Changed);
+    assert!(
+        ready(&register).is_empty(),
+        "it can only be about this instance"
+    );
 }
 
 #[test]
-fn told_apart() {
-    // Two processes heard different lives; in whatever order words come, all agree.
-    let words = [
-        beat(100, 7, Phase::Ready),
-        beat(100, 8, Phase::Draining),
-        beat(200, 1, Phase::Ready),
-        beat(200, 2, Phase::Ready),
+fn instances_in_any_order() {
+    // Two processes know different instances; they converge in any order of records.
+    let records = [
+        heartbeat(100, 7, Phase::Ready),
+        heartbeat(100, 8, Phase::Draining),
+        heartbeat(200, 1, Phase::Ready),
+        heartbeat(200, 2, Phase::Ready),
     ];
-    for first in 0..words.len() {
-        for second in 0..words.len() {
+    for first in 0..records.len() {
+        for second in 0..records.len() {
             let mut order: Vec<usize> = vec![first, second];
-            order.extend(0..words.len());
+            order.extend(0..records.len());
             let mut register = Register::default();
-            for at in &order {
-                register.merge(NOW, words[*at].clone(), false);
+            for index in &order {
+                register.merge(NOW, records[*index].clone(), false);
             }
-            assert_eq!(ready(&register), [life("a", 200)], "{order:?}");
-            assert_eq!(register.latest("a").map(|one| one.seq), Some(2));
+            assert_eq!(ready(&register), [instance("a", 200)], "{order:?}");
+            assert_eq!(register.latest("a").map(|record| record.seq), Some(2));
         }
     }
 }
 
 #[test]
-fn address_taken() {
+fn address_taken_by_other_server() {
     let mut register = Register::default();
-    register.merge(NOW, beat(100, 5, Phase::Ready), true);
-    let mut other = record(life("b", 150), 1, 1, Phase::Ready);
+    register.merge(NOW, heartbeat(100, 5, Phase::Ready), true);
+    let mut other = record(instance("b", 150), 1, 1, Phase::Ready);
     other.service = "portal".to_owned();
     register.merge(NOW, other, true);
-    assert!(ready(&register).is_empty(), "its address is another's");
-    register.merge(NOW, record(life("a", 200), 2, 1, Phase::Ready), true);
-    assert_eq!(ready(&register), [life("a", 200)]);
-    register.merge(NOW, beat(100, 6, Phase::Ready), true);
+    assert!(
+        ready(&register).is_empty(),
+        "another server has its address"
+    );
+    register.merge(NOW, record(instance("a", 200), 2, 1, Phase::Ready), true);
+    assert_eq!(ready(&register), [instance("a", 200)]);
+    register.merge(NOW, heartbeat(100, 6, Phase::Ready), true);
     let holder = register.at(SocketAddr::from(([10, 0, 0, 1], 1)));
-    assert_eq!(holder.map(|one| one.life.id.as_str()), Some("b"));
-    // And the other way round: it comes back to an address that was taken meanwhile.
-    register.merge(NOW, beat(300, 1, Phase::Ready), true);
-    assert_eq!(ready(&register), [life("a", 300)]);
+    assert_eq!(holder.map(|record| record.life.id.as_str()), Some("b"));
+    // The next instance takes the address back.
+    register.merge(NOW, heartbeat(300, 1, Phase::Ready), true);
+    assert_eq!(ready(&register), [instance("a", 300)]);
     assert!(register.at(SocketAddr::from(([10, 0, 0, 1], 2))).is_none());
 }
 
 #[test]
-fn other_writers() {
+fn unusable_records_rejected() {
     let mut register = Register::default();
-    register.merge(NOW, beat(100, 5, Phase::Ready), true);
-    let unborn = record(Instance::new("a", None), 1, 99, Phase::Draining);
-    assert_eq!(register.check(&unborn, true), Err(Rejection::MissingStart));
-    let mut unnamed = record(life("c", 1), 1, 1, Phase::Ready);
-    unnamed.service = "elsewhere".to_owned();
+    register.merge(NOW, heartbeat(100, 5, Phase::Ready), true);
+    let without_start = record(Instance::new("a", None), 1, 99, Phase::Draining);
+    assert_eq!(
+        register.check(&without_start, true),
+        Err(Rejection::MissingStart)
+    );
+    let mut unknown = record(instance("c", 1), 1, 1, Phase::Ready);
+    unknown.service = "elsewhere".to_owned();
     assert_eq!(
-        register.check(&unnamed, false),
+        register.check(&unknown, false),
         Err(Rejection::UnknownService)
     );
-    // A server that is known leaves also after its service was taken away.
-    let leaving = beat(100, 6, Phase::Draining);
+    // A known server can leave after its service was removed.
+    let leaving = heartbeat(100, 6, Phase::Draining);
     assert_eq!(register.check(&leaving, false), Ok(()));
-    let mut renamed = beat(100, 7, Phase::Ready);
+    let mut renamed = heartbeat(100, 7, Phase::Ready);
     renamed.service = "elsewhere".to_owned();
     assert_eq!(
         register.check(&renamed, false),
@@ -168,15 +189,15 @@
 }
 
 #[test]
-fn nothing_inherited() {
-    let (former, next) = (life("a", 100), life("a", 200));
-    let mut healths = Health::default();
-    healths.record_unreachable(NOW, &former);
-    healths.set_pace(&former, 4.0);
-    (0..10).for_each(|_| healths.record_response(NOW, &former, false));
-    assert!(!healths.is_paused(NOW, &next));
-    assert!((healths.pace(&next) - 1.0).abs() < 1e-9);
-    assert!(healths.failure_rate(NOW, &next) <= 0.0);
+fn health_and_load_not_inherited() {
+    let (former, next) = (instance("a", 100), instance("a", 200));
+    let mut health = Health::default();
+    health.record_unreachable(NOW, &former);
+    health.set_pace(&former, 4.0);
+    (0..10).for_each(|_| health.record_response(NOW, &former, false));
+    assert!(!health.is_paused(NOW, &next));
+    assert!((health.pace(&next) - 1.0).abs() < 1e-9);
+    assert!(health.failure_rate(NOW, &next) <= 0.0);
     let mut board = board::Board::default();
     let part = board::Part {
         server: board::server_key(&former),
@@ -200,8 +221,8 @@
 }
 
 #[test]
-fn report_of_another() {
-    let known = life("a", 100);
+fn start_time_tells_instances_apart() {
+    let known = instance("a", 100);
     assert!(known.may_match(Some(100)) && known.may_match(None));
     assert!(!known.may_match(Some(200)));
     assert!(Instance::new("a", None).may_match(Some(200)));
--- a/tests/server_register.rs
+++ b/tests/server_register.rs
@@ -1,4 +1,5 @@
-//! Which backend servers there are, whatever the order in which their heartbeats arrive.
+//! The register of backend servers: heartbeats that arrive late or out of order must not revive a
+//! server, undo its draining or take over an address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +12,13 @@
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn life(id: &str) -> Instance {
+fn instance(id: &str) -> Instance {
     Instance::new(id, None)
 }
 
 fn record(id: &str, port: u16, seq: u64, phase: Phase) -> Record {
     Record {
-        life: life(id),
+        life: instance(id),
         service: "pool".to_owned(),
         addr: SocketAddr::from(([10, 0, 0, 1], port)),
         zone: "a".to_owned(),
@@ -30,27 +31,27 @@
 fn ready(register: &Register) -> Vec<String> {
     let mut ids: Vec<String> = register
         .ready(NOW, "pool")
-        .map(|(one, _)| one.life.id.clone())
+        .map(|(record, _)| record.life.id.clone())
         .collect();
     ids.sort();
     ids
 }
 
 #[test]
-fn late_heartbeat() {
+fn late_heartbeat_ignored() {
     let mut register = Register::default();
     register.merge(NOW, record("a", 1, 5, Phase::Draining), true);
     let late = record("a", 1, 4, Phase::Ready);
     assert_eq!(register.merge(NOW, late, true), Update::Stale);
     assert!(
         ready(&register).is_empty(),
-        "a late word undid the draining"
+        "a late heartbeat undid the draining"
     );
 }
 
 #[test]
-fn any_order() {
-    let words = [
+fn heartbeats_in_any_order() {
+    let records = [
         record("a", 1, 1, Phase::Ready),
         record("a", 1, 2, Phase::Ready),
         record("a", 1, 3, Phase::Draining),
@@ -64,59 +65,63 @@
         [2, 1, 0],
     ] {
         let mut register = Register::default();
-        for at in order {
-            register.merge(NOW, words[at].clone(), false);
+        for index in order {
+            register.merge(NOW, records[index].clone(), false);
         }
         assert!(ready(&register).is_empty(), "{order:?}");
     }
 }
 
 #[test]
-fn gone_stays() {
+fn gone_server_not_revived() {
     let mut register = Register::default();
     register.merge(NOW, record("a", 1, 5, Phase::Ready), true);
-    register.mark_gone(NOW, life("a"));
+    register.mark_gone(NOW, instance("a"));
     register.merge(NOW, record("a", 1, 9, Phase::Ready), true);
     assert!(ready(&register).is_empty());
-    // One that was never heard of before it left does not come back either.
-    register.mark_gone(NOW, life("b"));
+    // Neither is one that was unknown until it left.
+    register.mark_gone(NOW, instance("b"));
     register.merge(NOW, record("b", 2, 3, Phase::Ready), true);
     assert!(ready(&register).is_empty());
 }
 
 #[test]
-fn next_life() {
+fn delayed_heartbeat_of_former_holder() {
     let mut register = Register::default();
     register.merge(NOW, record("old", 1, 5, Phase::Ready), true);
     register.merge(NOW, record("new", 1, 1, Phase::Ready), true);
     assert_eq!(ready(&register), ["new"]);
-    // One heartbeat of the life before was under way.
+    // One heartbeat of the former holder of the address was delayed.
     register.merge(NOW, record("old", 1, 6, Phase::Ready), true);
     assert_eq!(
         ready(&register),
         ["new"],
-        "a delayed word took the address back"
+        "a delayed heartbeat took the address back"
     );
 }
 
 #[test]
-fn living_returns() {
+fn displaced_but_running_returns() {
     let mut register = Register::default();
     register.merge(NOW, record("old", 1, 5, Phase::Ready), true);
     register.merge(NOW, record("new", 1, 1, Phase::Ready), false);
     register.merge(NOW, record("old", 1, 6, Phase::Ready), true);
     register.merge(NOW, record("old", 1, 7, Phase::Ready), true);
-    assert_eq!(ready(&register), ["old"], "who goes on speaking is there");
+    assert_eq!(
+        ready(&register),
+        ["old"],
+        "a server that keeps sending heartbeats is running"
+    );
 }
 
 #[test]
-fn passed_on() {
+fn only_own_heartbeats_passed_on() {
     let mut register = Register::default();
     let span = Duration::from_secs(3);
     register.merge(NOW, record("near", 1, 1, Phase::Ready), true);
     register.merge(NOW, record("far", 2, 1, Phase::Ready), false);
-    let heard = register.recent(NOW, span);
-    assert_eq!(heard.len(), 1, "only what was heard here is passed on");
-    assert_eq!(heard[0].life, life("near"));
+    let recent = register.recent(NOW, span);
+    assert_eq!(recent.len(), 1, "records from others are not passed on");
+    assert_eq!(recent[0].life, instance("near"));
     assert!(register.recent(NOW + span, span).is_empty());
 }
--- a/tests/server_tally.rs
+++ b/tests/server_tally.rs
@@ -1,4 +1,5 @@
-//! What an entry sent to backend servers lately.
+//! Counts of what an entry recently sent to backend servers. Guards against counts that include
+//! old entries, another purpose or another instance.
 
 use std::time::Duration;
 
@@ -13,33 +14,36 @@
 }
 
 #[test]
-fn by_kind() {
+fn counted_by_kind_and_instance() {
     let mut tally = Tally::default();
-    let (one, other) = (Instance::new("i-1", None), Instance::new("i-1", Some(7)));
-    tally.record(at(0), &one, Kind::Request);
-    tally.record(at(1_000), &one, Kind::Request);
-    tally.record(at(1_000), &one, Kind::Probe);
-    tally.record(at(2_000), &other, Kind::Order);
-    let sent = Counts {
+    let (server, restarted) = (Instance::new("i-1", None), Instance::new("i-1", Some(7)));
+    tally.record(at(0), &server, Kind::Request);
+    tally.record(at(1_000), &server, Kind::Request);
+    tally.record(at(1_000), &server, Kind::Probe);
+    tally.record(at(2_000), &restarted, Kind::Order);
+    let counts = Counts {
         requests: 2,
         probes: 1,
         orders: 0,
     };
-    assert_eq!(tally.recent(at(2_000), &one), sent);
-    let sent = Counts {
+    assert_eq!(tally.recent(at(2_000), &server), counts);
+    let counts = Counts {
         requests: 1,
-        ..sent
+        ..counts
     };
     assert_eq!(
-        tally.recent(WINDOW, &one),
-        sent,
-        "what is older counts no more"
+        tally.recent(WINDOW, &server),
+        counts,
+        "what was sent before the window counts no more"
     );
     assert_eq!(
-        tally.recent(at(2_000), &other).orders,
+        tally.recent(at(2_000), &restarted).orders,
         1,
-        "each life by itself"
+        "instances are counted separately"
     );
     tally.prune(WINDOW + at(2_000));
-    assert_eq!(tally.recent(WINDOW + at(2_000), &other), Counts::default());
+    assert_eq!(
+        tally.recent(WINDOW + at(2_000), &restarted),
+        Counts::default()
+    );
 }
