--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::board;
+use super::load;
 use super::quota;
 use super::register;
 use crate::wire::id;
@@ -61,7 +61,7 @@
             /// Whether all loads are listed; otherwise those changed since the last report.
             whole: bool,
             /// Load by backend server.
-            loads: Vec<board::Load>,
+            loads: Vec<load::Load>,
             /// Ranks of the waiting long prompts, lowest first.
             waiting: Vec<u32>,
         },
--- a/src/direct/quota.rs
+++ b/src/direct/quota.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::board;
+use super::load;
 
 key! {
     /// Requests per 1,000 seconds.
@@ -54,7 +54,7 @@
     /// What processes report to each other about a server's limit.
     #[derive(Copy)]
     pub struct Report {
-        /// The server, see [`super::board::server_key`].
+        /// The server, see [`super::load::server_key`].
         pub server: u64,
         /// How often the limit has changed, as far as known: the report with more changes wins.
         pub change: u32,
@@ -346,7 +346,7 @@
 /// Sorts entries into the order in which they grant for a service: the first is the primary, the
 /// next one its deputy. All processes compute the same order; it differs between services.
 pub fn grantors(service: &str, mut entries: Vec<SocketAddr>) -> Vec<SocketAddr> {
-    let service = board::key(service);
+    let service = load::key(service);
     entries.sort_by_cached_key(|entry| (rank(service, entry), *entry));
     entries
 }
--- a/src/direct/register.rs
+++ b/src/direct/register.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::board;
+use super::load;
 
 key! {
     /// The phase that a backend server reports. An instance never returns to an earlier phase, so
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     record: Record,
-    /// See [`board::server_key`]. Stored, since the cost of hashing it on each use grows with the
+    /// See [`load::server_key`]. Stored, since the cost of hashing it on each use grows with the
     /// fleet.
     key: u64,
     /// When this instance became known.
@@ -161,7 +161,7 @@
 impl Known {
     fn new(now: Duration, record: Record) -> Self {
         Self {
-            key: board::server_key(&record.life),
+            key: load::server_key(&record.life),
             record,
             since: now,
             seen: now,
@@ -177,7 +177,7 @@
 pub struct Ready<'a> {
     /// Its record.
     pub record: &'a Record,
-    /// See [`board::server_key`].
+    /// See [`load::server_key`].
     pub key: u64,
     /// Time since its last heartbeat.
     pub age: Duration,
@@ -326,7 +326,7 @@
         self.by_id.get(id).map(|known| &known.record)
     }
 
-    /// The instance of a key, see [`board::server_key`].
+    /// The instance of a key, see [`load::server_key`].
     pub fn instance(&self, key: u64) -> Option<&Instance> {
         let id = self.by_key.get(&key)?;
         Some(&self.latest(id)?.life)
--- a/src/edge/direct/checkup.rs
+++ b/src/edge/direct/health_check.rs
@@ -10,8 +10,8 @@
 use tokio::time;
 
 use super::Direct;
-use crate::direct::board;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::register;
 use crate::direct::rendezvous;
 
@@ -49,12 +49,12 @@
     let servers = engines.flat_map(|one| state.register.ready_with_keys(now, &one.name));
     // A server that names a limit is not asked: questions count against it.
     let open = servers.filter(|one| !state.is_limited(&one.record.life));
-    let own = open.filter(|one| rendezvous::falls_to(one.key, me, &others));
+    let own = open.filter(|one| rendezvous::is_owner(one.key, me, &others));
     own.map(|one| one.record.clone()).collect()
 }
 
 fn process_key(addr: SocketAddr) -> u64 {
-    board::key(&addr.to_string())
+    load::key(&addr.to_string())
 }
 
 async fn check(direct: Arc<Direct>, server: register::Record) {
@@ -65,25 +65,25 @@
         None => SILENT,
     };
     if pace == SILENT {
-        direct.missed(&server.life, "does not report");
+        direct.pause_server(&server.life, "does not report");
     }
     let same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
     if !same {
-        let key = board::server_key(&server.life);
-        direct.tell(gossip::Message::Paces(vec![(key, pace)]));
+        let key = load::server_key(&server.life);
+        direct.broadcast(gossip::Message::Paces(vec![(key, pace)]));
     }
 }
 
 impl Direct {
     /// Sends nothing new to a server for a while, and tells the others to do so.
-    pub(super) fn suspect(&self, server: &register::Instance) {
-        self.missed(server, "a call broke off that may not be repeated");
-        let key = board::server_key(server);
-        self.tell(gossip::Message::Paces(vec![(key, SILENT)]));
+    pub(super) fn pause_server_everywhere(&self, server: &register::Instance) {
+        self.pause_server(server, "a call broke off that may not be repeated");
+        let key = load::server_key(server);
+        self.broadcast(gossip::Message::Paces(vec![(key, SILENT)]));
     }
 
     /// Takes what another entry found out about servers.
-    pub(super) fn take_paces(&self, paces: &[(u64, u16)]) {
+    pub(super) fn apply_paces(&self, paces: &[(u64, u16)]) {
         let told: Vec<(register::Instance, u16)> = {
             let state = self.state();
             let life = |key: u64| state.register.instance(key).cloned();
@@ -93,7 +93,7 @@
         };
         for (life, pace) in told {
             if pace == SILENT {
-                self.missed(&life, "does not report to another entry");
+                self.pause_server(&life, "does not report to another entry");
             } else {
                 self.state()
                     .healths
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -13,10 +13,10 @@
 use tokio::time;
 
 use super::Direct;
-use crate::direct::board;
-use crate::direct::bulletin;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::membership;
+use crate::direct::reporter;
 use crate::edge::event::Event;
 use crate::edge::node;
 use crate::log_event;
@@ -74,7 +74,7 @@
     /// Whether the next word on loads is of all, not only of what changed.
     loads_whole: bool,
     /// What was last told of loads.
-    bulletin: bulletin::Bulletin,
+    bulletin: reporter::Reporter,
     pulling: Arc<AtomicBool>,
 }
 
@@ -89,7 +89,7 @@
         loads_sent: Duration::ZERO,
         loads_due: false,
         loads_whole: true,
-        bulletin: bulletin::Bulletin::default(),
+        bulletin: reporter::Reporter::default(),
         pulling: Arc::default(),
     };
     mesh.run().await;
@@ -253,7 +253,7 @@
 
     fn greet(&mut self) {
         let now = self.direct.node.now();
-        self.direct.state().observe_pressure(now);
+        self.direct.state().observe_congestion(now);
         self.round += 1;
         self.lose_silent(now);
         let settings = self.direct.node.settings();
@@ -278,7 +278,7 @@
         }
         self.loads_due = true;
         self.loads_whole = true;
-        self.direct.tell_control(now);
+        self.direct.update_control(now);
     }
 
     /// Greets the seeds that were not heard yet.
@@ -353,7 +353,7 @@
             gossip::Message::Records(records) => {
                 for record in records {
                     // Whoever heard it has logged and counted what is wrong with it.
-                    let _ = self.direct.take_record(record, false);
+                    let _ = self.direct.apply_record(record, false);
                 }
             }
             gossip::Message::Loads {
@@ -361,28 +361,28 @@
                 loads,
                 waiting,
             } => {
-                let told = board::Told {
+                let told = load::Report {
                     whole,
                     loads,
                     waiting,
                 };
                 let board = &mut self.direct.state().board;
-                board.told(now, from.link, from.life, datagram.seq, told);
+                board.apply(now, from.link, from.life, datagram.seq, told);
             }
-            gossip::Message::Paces(paces) => self.direct.take_paces(&paces),
+            gossip::Message::Paces(paces) => self.direct.apply_paces(&paces),
             gossip::Message::Died(request, server) => {
                 self.direct
                     .state()
                     .suspects
                     .record_crash(now, request, &server);
             }
-            gossip::Message::Limits(words) => self.direct.take_words(&words),
+            gossip::Message::Limits(words) => self.direct.receive_limit_reports(&words),
             gossip::Message::Ask(ask) => {
-                let grant = self.direct.grant_asked(&ask);
+                let grant = self.direct.answer_grant_request(&ask);
                 self.send(gossip::Message::Grant(grant), &[from.link]);
             }
-            gossip::Message::Grant(grant) => self.direct.take_grant(grant),
-            gossip::Message::Charged(server) => self.direct.take_charge(server),
+            gossip::Message::Grant(grant) => self.direct.receive_grant(grant),
+            gossip::Message::Charged(server) => self.direct.receive_charge(server),
         }
         if from.version > self.direct.node.documents().version() {
             self.pull(from.link);
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wigeonbarrow::direct::board;
 use wigeonbarrow::direct::health::Health;
+use wigeonbarrow::direct::load;
 use wigeonbarrow::direct::register::Instance;
 use wigeonbarrow::direct::register::Phase;
 use wigeonbarrow::direct::register::Record;
@@ -198,16 +198,16 @@
     assert!(!health.is_paused(NOW, &next));
     assert!((health.pace(&next) - 1.0).abs() < 1e-9);
     assert!(health.failure_rate(NOW, &next) <= 0.0);
-    let mut board = board::Board::default();
-    let part = board::Part {
-        server: board::server_key(&former),
+    let mut board = load::Table::default();
+    let part = load::Segment {
+        server: load::server_key(&former),
         read_ms: 900.0,
         memory: 5_000,
     };
-    board.enter(
+    board.insert(
         NOW,
-        board::Claim {
-            parts: vec![part],
+        load::Claim {
+            segments: vec![part],
             prompt: 5_000,
             answer: 100,
             bound_ms: 250,
@@ -216,8 +216,8 @@
         },
     );
     let view = board.view(NOW);
-    assert!(view.contains_key(&board::server_key(&former)));
-    assert!(!view.contains_key(&board::server_key(&next)));
+    assert!(view.contains_key(&load::server_key(&former)));
+    assert!(!view.contains_key(&load::server_key(&next)));
 }
 
 #[test]
