--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -1,4 +1,5 @@
-//! What runs where: this entry's own requests exactly, those of other entries as they last told.
+//! Load of the backend servers: exact for the requests of this entry, as last reported for those of
+//! other entries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,79 +10,82 @@
 use super::subset;
 use crate::wire::id;
 
-/// How long the word of another entry counts. Entries speak up each half second.
-const HOLDS: Duration = Duration::from_millis(2_500);
+/// How long a report from another entry stays valid. Entries report every half second.
+const REPORT_TTL: Duration = Duration::from_millis(2_500);
 
-/// Segment of a read that is taken to be left once it should have ended: what takes longer than
-/// predicted goes on for a while, and a server that looks free would draw all that comes.
-const OVERDUE_PART: f64 = 0.5;
+/// Share of an overdue read that still counts as backlog. A read that takes longer than predicted
+/// usually goes on for a while, and a server that looks idle would attract all new requests.
+const OVERDUE_SHARE: f64 = 0.5;
 
-/// How long, besides its own length, a read counts as overdue. Later its answer is more likely
-/// lost than late, and nothing should wait for it.
+/// How long past its predicted end, besides its own length, a read counts as overdue. After that
+/// its answer is more likely lost than late, and no request should wait for it.
 const OVERDUE_SLACK: Duration = Duration::from_millis(300);
 
-/// How long the word of another entry on who waits there counts; it speaks up each 0.4 s while
-/// somebody does. An entry that has died holds nobody up for longer.
-const WAIT_HOLDS: Duration = Duration::from_millis(900);
+/// How long a report of waiting prompts stays valid. An entry reports every 0.4 s while prompts
+/// wait there, and a crashed entry blocks others no longer than this.
+const WAITING_TTL: Duration = Duration::from_millis(900);
 
-/// A pause in milliseconds at or below which a writer is in the way of long prompts.
-pub const TIGHT_PAUSE_MS: u32 = 400;
+/// Longest gap between events, in milliseconds, that makes a gap limit tight: where an answer with
+/// such a limit is written, long prompts should not be read.
+pub const TIGHT_GAP_MS: u32 = 400;
 
-/// Ranks told to others.
-const MOST_WAITING: usize = 4;
+/// Most ranks of waiting prompts in a report.
+const MAX_REPORTED_RANKS: usize = 4;
 
-/// How long a server stays in what an entry tells after its last request there: a count that was
-/// told once and got lost is told again.
-const TOLD_ON: Duration = Duration::from_secs(3);
+/// How long a server stays in the reports after the last request there, so that later reports make
+/// up for a lost one.
+const REPORTED_AFTER_USE: Duration = Duration::from_secs(3);
 
 key! {
-    /// A request on this entry.
+    /// Handle of a request in a [`Table`].
     pub struct Ticket(pub u64);
 }
 
 data! {
-    /// What one entry has running at one backend server.
+    /// Load that one entry puts on one backend server.
     #[derive(Copy, Default)]
     pub struct Load {
-        /// The server, see [`server_key`].
+        /// Key of the server, see [`server_key`].
         pub server: u64,
-        /// Requests that wait for their first event, or are plain.
+        /// Requests without a first event yet, and calls to plain services.
         pub readers: u32,
-        /// Requests that write.
+        /// Requests whose answer is being written.
         pub writers: u32,
-        /// Milliseconds of reading of all who wait for their first event, segments of other
-        /// servers' prompts among them. What is left to read is no more than that.
+        /// Reading time in milliseconds of all requests without a first event, including segments
+        /// of prompts that other servers answer. An upper bound of what is left to read.
         pub read_ms: u32,
-        /// Tokens of context of those who write.
+        /// Tokens of context of the requests being written.
         pub context: u64,
-        /// Tokens of memory taken or to be taken.
+        /// Tokens of memory that are or will be taken.
         pub memory: u64,
-        /// Tightest pause in milliseconds of those who write or will. 0: none.
+        /// Smallest gap limit, in milliseconds, of the requests that are or will be written. 0:
+        /// none.
         pub bound_ms: u32,
-        /// Milliseconds of work that the entry has ever given the server to read. Only its
-        /// growth counts, so a datagram that is lost is made up for by the next.
+        /// Total milliseconds of reading that the entry has given the server. Receivers use only
+        /// its growth, so the next datagram makes up for a lost one.
         pub given_ms: i64,
-        /// Long prompts whose segments are to be read there, and that are not overdue for so long
-        /// that their answers count as lost.
+        /// Long prompts with a segment to read here, except those overdue for so long that their
+        /// answers count as lost.
         pub long: u32,
-        /// Of `read_ms`, what should have been read by now.
+        /// Part of `read_ms` whose predicted end has passed.
         pub overdue_ms: u32,
-        /// Milliseconds until all work given to the server is read, by all entries.
+        /// Milliseconds until the server has read all that all entries gave it.
         pub backlog_ms: u32,
-        /// Requests with tight pauses that write there, or will: see [`TIGHT_PAUSE_MS`].
+        /// Requests with a tight gap limit that are or will be written here, see
+        /// [`TIGHT_GAP_MS`].
         pub tight: u32,
-        /// Milliseconds of work given to the server lately, by all entries, older work counting
-        /// less: see [`super::backlog`].
+        /// Milliseconds of reading given recently by all entries, decayed by age: see
+        /// [`super::backlog`].
         pub lately_ms: u32,
     }
 }
 
-/// Short name of a backend server's life in datagrams.
+/// Short key of one instance of a backend server, as used in datagrams.
 pub fn server_key(life: &register::Life) -> u64 {
     key(&life.to_string())
 }
 
-/// A short name that spreads evenly.
+/// Hashes a text to an evenly distributed key.
 pub fn key(text: &str) -> u64 {
     let hash = blake3::hash(text.as_bytes());
     let mut out = [0; 8];
@@ -89,31 +93,31 @@
     u64::from_le_bytes(out)
 }
 
-/// A part of a prompt that a server reads.
+/// A segment of a prompt, read by one server.
 #[derive(Clone, Copy, Debug)]
 pub struct Segment {
-    /// The server.
+    /// Key of the server, see [`server_key`].
     pub server: u64,
-    /// Milliseconds of reading.
+    /// Reading time in milliseconds.
     pub read_ms: f64,
     /// Tokens of memory that it takes there.
     pub memory: u64,
 }
 
-/// A request's claim on servers.
+/// What a request takes from backend servers.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The server that writes. Its part is the first of `segments`.
+    /// Segments of its prompt. The first is read by the server that writes the answer.
     pub segments: Vec<Segment>,
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt: u64,
-    /// Tokens that its answer is expected to have.
+    /// Expected length of the answer in tokens.
     pub answer: u64,
-    /// Longest pause between its events in milliseconds. 0: it has none.
+    /// Longest allowed gap between events in milliseconds. 0: no limit.
     pub bound_ms: u32,
-    /// Whether it is read in the lane of long prompts.
+    /// Whether the prompt is read in the lane for long prompts.
     pub is_long: bool,
-    /// When its reading began, and is expected to end.
+    /// When reading began, and when it is expected to end.
     pub reads: (Duration, Duration),
 }
 
@@ -123,49 +127,50 @@
     writes: bool,
 }
 
-/// What another entry says that it has running.
+/// Load reported by another entry.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Whether it is all; else only what changed.
+    /// Whether the report is complete; otherwise it holds only what changed.
     pub whole: bool,
-    /// By server.
+    /// At most one for each server.
     pub loads: Vec<Load>,
-    /// Ranks of the long prompts that wait there for their turn.
+    /// Ranks of the long prompts that wait for their turn on that entry.
     pub waiting: Vec<u32>,
 }
 
 #[derive(Debug)]
-struct Other {
+struct Received {
     life: id::Incarnation,
     seq: u64,
     at: Duration,
     loads: HashMap<u64, Load>,
     given: HashMap<u64, i64>,
-    /// Ranks of the long prompts that wait there for their turn.
+    /// Ranks of the long prompts that wait for their turn on that entry.
     waiting: Vec<u32>,
 }
 
-/// What this entry has given a server in all, and when last.
+/// Total work that this entry has given a server, and when it last did.
 #[derive(Clone, Copy, Debug, Default)]
 struct Given {
     ms: f64,
     at: Duration,
 }
 
-/// What runs where.
+/// Load of the backend servers, by the entry that puts it there.
 #[derive(Debug, Default)]
 pub struct Table {
     next: u64,
     own: HashMap<Ticket, Run>,
-    told: HashMap<SocketAddr, Other>,
+    reports: HashMap<SocketAddr, Received>,
     backlogs: HashMap<u64, Backlog>,
     given: HashMap<u64, Given>,
-    /// Long prompts of this entry that wait for their turn: their ranks.
+    /// Ranks of the long prompts of this entry that wait for their turn.
     waiting: HashMap<Ticket, u32>,
 }
 
 impl Table {
-    /// A long prompt waits for its turn with this rank; the lowest goes first.
+    /// Adds a long prompt to those that wait for their turn, or updates its rank. The lowest rank
+    /// goes first.
     pub fn enqueue(&mut self, ticket: Option<Ticket>, rank: u32) -> Ticket {
         let ticket = ticket.unwrap_or_else(|| {
             self.next += 1;
@@ -175,49 +180,52 @@
         ticket
     }
 
-    /// It waits no more.
+    /// Removes a prompt from those that wait for their turn.
     pub fn dequeue(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
-    /// Whether none that waits anywhere goes before `rank`.
+    /// Whether no other waiting prompt, on any entry, has a lower rank than `rank`.
     pub fn is_first(&self, now: Duration, ticket: Ticket, rank: u32) -> bool {
-        let own = self.waiting.iter().filter(|(one, _)| **one != ticket);
+        let own = self
+            .waiting
+            .iter()
+            .filter(|(waiting, _)| **waiting != ticket);
         let own = own.map(|(_, rank)| *rank);
-        own.chain(self.waiting_elsewhere(now))
-            .all(|one| rank <= one)
+        own.chain(self.ranks_elsewhere(now))
+            .all(|other| rank <= other)
     }
 
-    /// How many of those that wait anywhere go before `rank`.
+    /// Number of waiting prompts, on any entry, that have a lower rank than `rank`.
     pub fn ahead(&self, now: Duration, rank: u32) -> usize {
         let own = self.waiting.values().copied();
-        let all = own.chain(self.waiting_elsewhere(now));
-        all.filter(|one| *one < rank).count()
+        let all = own.chain(self.ranks_elsewhere(now));
+        all.filter(|other| *other < rank).count()
     }
 
-    /// Whether a long prompt waits anywhere.
+    /// Whether a long prompt waits for its turn on any entry.
     pub fn has_waiting(&self, now: Duration) -> bool {
-        !self.waiting.is_empty() || self.waiting_elsewhere(now).next().is_some()
+        !self.waiting.is_empty() || self.ranks_elsewhere(now).next().is_some()
     }
 
-    /// Ranks of the long prompts that wait here, lowest first, as many as matter.
+    /// Lowest ranks of the long prompts that wait on this entry, in ascending order.
     pub fn waiting_ranks(&self) -> Vec<u32> {
         let mut ranks: Vec<u32> = self.waiting.values().copied().collect();
         ranks.sort_unstable();
-        ranks.truncate(MOST_WAITING);
+        ranks.truncate(MAX_REPORTED_RANKS);
         ranks
     }
 
-    fn waiting_elsewhere(&self, now: Duration) -> impl Iterator<Item = u32> {
-        let told = self.told.values();
-        let told = told.filter(move |one| now < one.at + WAIT_HOLDS);
-        told.flat_map(|one| one.waiting.iter().copied())
+    fn ranks_elsewhere(&self, now: Duration) -> impl Iterator<Item = u32> {
+        let valid = self.reports.values();
+        let valid = valid.filter(move |report| now < report.at + WAITING_TTL);
+        valid.flat_map(|report| report.waiting.iter().copied())
     }
 
-    /// Enters a request.
+    /// Adds a request and the work it gives its servers.
     pub fn insert(&mut self, now: Duration, claim: Claim) -> Ticket {
-        for part in &claim.segments {
-            self.give(now, part.server, part.read_ms);
+        for segment in &claim.segments {
+            self.give(now, segment.server, segment.read_ms);
         }
         self.next += 1;
         let ticket = Ticket(self.next);
@@ -226,14 +234,15 @@
         ticket
     }
 
-    /// Its first event came: its prompt is read.
+    /// Marks the prompt of a request as read: its first event has come.
     pub fn start_writing(&mut self, ticket: Ticket) {
         if let Some(run) = self.own.get_mut(&ticket) {
             run.writes = true;
         }
     }
 
-    /// It has ended. What it leaves unread is work no more.
+    /// Removes a request that has ended. What is left unread of its prompt no longer counts as
+    /// work.
     pub fn remove(&mut self, now: Duration, ticket: Ticket) {
         let Some(run) = self.own.remove(&ticket) else {
             return;
@@ -244,8 +253,12 @@
         }
         let span = ends.saturating_sub(begins).as_secs_f64();
         let left = ends.saturating_sub(now.max(begins)).as_secs_f64();
-        for part in &run.claim.segments {
-            self.give(now, part.server, -part.read_ms * (left / span.max(1e-6)));
+        for segment in &run.claim.segments {
+            self.give(
+                now,
+                segment.server,
+                -segment.read_ms * (left / span.max(1e-6)),
+            );
         }
     }
 
@@ -256,90 +269,90 @@
         given.at = now;
     }
 
-    /// Requests of this entry.
+    /// Number of requests on this entry.
     pub fn len(&self) -> usize {
         self.own.len()
     }
 
-    /// Whether this entry has none.
+    /// Whether this entry has no requests.
     pub fn is_empty(&self) -> bool {
         self.own.is_empty()
     }
 
-    /// What another entry has running.
+    /// Stores a report from another entry, unless a later one is known.
     pub fn apply(
         &mut self,
         now: Duration,
         from: SocketAddr,
         life: id::Incarnation,
         seq: u64,
-        news: Report,
+        report: Report,
     ) {
         let Report {
             whole,
             loads,
             waiting,
-        } = news;
-        if let Some(told) = self.told.get(&from)
-            && told.life == life
-            && told.seq >= seq
+        } = report;
+        if let Some(last) = self.reports.get(&from)
+            && last.life == life
+            && last.seq >= seq
         {
             return;
         }
-        let before = self.told.remove(&from).filter(|one| one.life == life);
-        let (mut before, mut held) = match before {
-            Some(one) => (Some(one.given), one.loads),
+        let last = self.reports.remove(&from).filter(|last| last.life == life);
+        let (mut last_given, mut known_loads) = match last {
+            Some(last) => (Some(last.given), last.loads),
             None => (None, HashMap::new()),
         };
         if whole {
-            held.clear();
+            known_loads.clear();
         }
         for load in &loads {
-            let known = before
+            let known = last_given
                 .as_mut()
-                .map(|one| one.insert(load.server, load.given_ms));
-            let grown = match known {
+                .map(|given| given.insert(load.server, load.given_ms));
+            let growth = match known {
                 Some(Some(known)) => (load.given_ms - known) as f64,
-                // The first word on this server: what it has to read now.
+                // The first report on this server: what it has to read now.
                 _ => f64::from(load.read_ms),
             };
-            if grown != 0.0 {
+            if growth != 0.0 {
                 self.backlogs
                     .entry(load.server)
                     .or_default()
-                    .add(now, grown);
+                    .add(now, growth);
             }
         }
-        let given = before.unwrap_or_else(|| {
-            let given = loads.iter().map(|one| (one.server, one.given_ms));
+        let given = last_given.unwrap_or_else(|| {
+            let given = loads.iter().map(|load| (load.server, load.given_ms));
             given.collect()
         });
-        held.extend(loads.into_iter().map(|one| (one.server, one)));
-        let told = Other {
+        known_loads.extend(loads.into_iter().map(|load| (load.server, load)));
+        let received = Received {
             life,
             seq,
             at: now,
-            loads: held,
+            loads: known_loads,
             given,
             waiting,
         };
-        self.told.insert(from, told);
+        self.reports.insert(from, received);
     }
 
-    /// What this entry has running, by server.
+    /// Load that this entry puts on each server.
     pub fn own_loads(&self, now: Duration) -> Vec<Load> {
         let mut out: HashMap<u64, Load> = HashMap::new();
         for run in self.own.values() {
-            for (at, part) in run.claim.segments.iter().enumerate() {
-                let load = out.entry(part.server).or_insert(Load {
-                    server: part.server,
+            for (at, segment) in run.claim.segments.iter().enumerate() {
+                let load = out.entry(segment.server).or_insert(Load {
+                    server: segment.server,
                     ..Load::default()
                 });
-                add(load, now, run, part, at == 0);
+                add(load, now, run, segment, at == 0);
             }
         }
         for (server, given) in &self.given {
-            if out.contains_key(server) || now < given.at + TOLD_ON {
+            if out.contains_key(server) || now < given.at + REPORTED_AFTER_USE {
                 let load = out.entry(*server).or_insert(Load {
                     server: *server,
                     ..Load::default()
@@ -350,67 +363,67 @@
         out.into_values().collect()
     }
 
-    /// What is told of a server at which this entry has nothing running any more.
+    /// Load to report for a server on which this entry has no requests any more.
     pub fn idle_load(&self, server: u64) -> Load {
         let given = self.given.get(&server);
         Load {
             server,
-            given_ms: given.map_or(0, |one| one.ms as i64),
+            given_ms: given.map_or(0, |given| given.ms as i64),
             ..Load::default()
         }
     }
 
-    /// All that runs, by server.
+    /// Load that all entries put on each server.
     pub fn view(&mut self, now: Duration) -> HashMap<u64, Load> {
         self.view_subset(now, subset::Subset::WHOLE)
     }
 
-    /// All that runs on one part of the fleet, by server.
-    pub fn view_subset(&mut self, now: Duration, part: subset::Subset) -> HashMap<u64, Load> {
+    /// The same for the servers of one subset.
+    pub fn view_subset(&mut self, now: Duration, subset: subset::Subset) -> HashMap<u64, Load> {
         let own = self.own_loads(now).into_iter();
-        let own = own.filter(|one| part.contains(one.server));
-        let mut out: HashMap<u64, Load> = own.map(|one| (one.server, one)).collect();
-        for told in self.told.values() {
-            let age = now.saturating_sub(told.at);
-            if age > HOLDS {
+        let own = own.filter(|load| subset.contains(load.server));
+        let mut out: HashMap<u64, Load> = own.map(|load| (load.server, load)).collect();
+        for report in self.reports.values() {
+            let age = now.saturating_sub(report.at);
+            if age > REPORT_TTL {
                 continue;
             }
-            let loads = told.loads.values();
-            for load in loads.filter(|one| part.contains(one.server)) {
+            let loads = report.loads.values();
+            for load in loads.filter(|load| subset.contains(load.server)) {
                 let sum = out.entry(load.server).or_insert(Load {
                     server: load.server,
                     ..Load::default()
                 });
-                join(sum, load);
+                merge(sum, load);
             }
         }
         for load in out.values_mut() {
             let Some(backlog) = self.backlogs.get_mut(&load.server) else {
                 continue;
             };
-            // Work that was expected and is done sooner, or was given up, is seen by this.
-            let left = backlog.bound(now, f64::from(load.read_ms));
-            load.lately_ms = backlog.lately(now) as u32;
-            let overdue = f64::from(load.overdue_ms) * OVERDUE_PART;
-            load.backlog_ms = left.max(overdue) as u32;
+            // Corrects the backlog for work that was cancelled or done sooner than expected.
+            let left_ms = backlog.limit(now, f64::from(load.read_ms));
+            load.lately_ms = backlog.recent(now) as u32;
+            let overdue_ms = f64::from(load.overdue_ms) * OVERDUE_SHARE;
+            load.backlog_ms = left_ms.max(overdue_ms) as u32;
         }
         out
     }
 }
 
-fn add(load: &mut Load, now: Duration, run: &Run, part: &Segment, is_first: bool) {
+fn add(load: &mut Load, now: Duration, run: &Run, segment: &Segment, is_writer: bool) {
     let claim = &run.claim;
     if !run.writes {
-        load.read_ms += part.read_ms.ceil() as u32;
-        let slack = Duration::from_secs_f64(part.read_ms / 1e3) + OVERDUE_SLACK;
+        load.read_ms += segment.read_ms.ceil() as u32;
+        let slack = Duration::from_secs_f64(segment.read_ms / 1e3) + OVERDUE_SLACK;
         let is_awaited = now < claim.reads.1 + slack;
         load.long += u32::from(claim.is_long && is_awaited);
         if now > claim.reads.1 && is_awaited {
-            load.overdue_ms += part.read_ms.ceil() as u32;
+            load.overdue_ms += segment.read_ms.ceil() as u32;
         }
     }
-    load.memory += part.memory;
-    if !is_first {
+    load.memory += segment.memory;
+    if !is_writer {
         return;
     }
     if run.writes {
@@ -420,12 +433,12 @@
         load.readers += 1;
     }
     if claim.bound_ms > 0 {
-        load.bound_ms = tighter(load.bound_ms, claim.bound_ms);
-        load.tight += u32::from(claim.bound_ms <= TIGHT_PAUSE_MS);
+        load.bound_ms = min_limit(load.bound_ms, claim.bound_ms);
+        load.tight += u32::from(claim.bound_ms <= TIGHT_GAP_MS);
     }
 }
 
-fn join(sum: &mut Load, load: &Load) {
+fn merge(sum: &mut Load, load: &Load) {
     sum.readers += load.readers;
     sum.writers += load.writers;
     sum.read_ms += load.read_ms;
@@ -434,11 +447,11 @@
     sum.context += load.context;
     sum.memory += load.memory;
     sum.tight += load.tight;
-    sum.bound_ms = tighter(sum.bound_ms, load.bound_ms);
+    sum.bound_ms = min_limit(sum.bound_ms, load.bound_ms);
 }
 
-/// The smaller of two bounds, of which 0 means none.
-fn tighter(one: u32, other: u32) -> u32 {
+/// The smaller of two limits, where 0 means none.
+fn min_limit(one: u32, other: u32) -> u32 {
     match (one, other) {
         (0, bound) | (bound, 0) => bound,
         (one, other) => one.min(other),
--- a/src/direct/model.rs
+++ b/src/direct/model.rs
@@ -1,43 +1,44 @@
-//! Time model of an engine: how long reading a prompt takes, alone or in parts, and how long a
-//! pass keeps those who write waiting.
+//! Time model of an engine: how long it takes to read a prompt, alone or split over several
+//! engines, and how long a pass delays the answers being written.
 //!
-//! An engine works in passes. A pass with writers makes `stride` tokens for each of them, and
-//! each of its steps may read one chunk of somebody's prompt. So a long read beside writers
-//! stretches their pauses, and a first token comes with the end of a pass.
+//! An engine works in passes. A pass that writes makes `stride` tokens for each answer, and each of
+//! its steps may read one chunk of a prompt as well. So a long read stretches the gaps between
+//! events, and a first token comes with the end of a pass.
 
 use std::time::Duration;
 
-/// What an engine needs for its work.
+/// Parameters of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
     /// Requests that it serves at once.
     pub slots: u32,
     /// Memory in tokens.
     pub memory_tokens: u64,
-    /// Steps of a pass with writers. Also the tokens of one event.
+    /// Steps of a pass that writes. Also the tokens of one event.
     pub stride: u32,
-    /// Milliseconds of a step.
+    /// Base time of a step in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that a writer adds to a step.
+    /// Milliseconds that each answer being written adds to a step.
     pub writer_ms: f64,
-    /// Milliseconds that 1,000 tokens of a writer's context add to a step.
+    /// Milliseconds that 1,000 tokens of context of the answers being written add to a step.
     pub context_ms_per_k: f64,
-    /// Tokens read a millisecond.
+    /// Tokens read per millisecond.
     pub read_per_ms: f64,
-    /// Milliseconds a million pairs of a token and an earlier one.
+    /// Attention cost in milliseconds per million pairs of a token and an earlier one.
     pub pairs_ms_per_m: f64,
     /// Most tokens read in one step.
     pub chunk: u32,
-    /// Milliseconds that a step of a request with helpers costs besides.
+    /// Extra milliseconds of a step of a request with helpers.
     pub hop_ms: f64,
-    /// Tokens of a usual prompt.
+    /// Length of a usual prompt in tokens.
     pub usual_prompt: u64,
-    /// Tokens of a usual answer.
+    /// Length of a usual answer in tokens.
     pub usual_answer: u64,
 }
 
 impl Engine {
-    /// Time to read a prompt of `tokens`, split evenly over `width` engines, on each of them.
+    /// Milliseconds that each of `width` engines takes to read its part of a prompt of `tokens`,
+    /// split evenly.
     pub fn read_ms(&self, tokens: u64, width: usize) -> f64 {
         let tokens = tokens as f64;
         let linear = tokens / self.read_per_ms.max(f64::EPSILON);
@@ -45,13 +46,14 @@
         (linear + pairs) / width.max(1) as f64
     }
 
-    /// Time of one step with `writers` that hold `context` tokens together.
+    /// Milliseconds of one step that writes `writers` answers with `context` tokens in all.
     pub fn step_ms(&self, writers: u32, context: u64) -> f64 {
         let per_writer = f64::from(writers) * self.writer_ms;
         self.step_ms + per_writer + context as f64 / 1e3 * self.context_ms_per_k
     }
 
-    /// Time of one pass with `writers` that hold `context` tokens together, nothing read beside.
+    /// Milliseconds of one pass that writes `writers` answers with `context` tokens in all and
+    /// reads nothing.
     pub fn pass_ms(&self, writers: u32, context: u64) -> f64 {
         f64::from(self.stride) * self.step_ms(writers, context)
     }
--- a/src/direct/place.rs
+++ b/src/direct/place.rs
@@ -1,4 +1,8 @@
-//! Where a request goes: the server that writes its answer, and those that help it read.
+//! Placement of requests: which server writes the answer, and which servers help to read the
+//! prompt.
+//!
+//! Goodput is the value of the requests that are served, as a share of the value of all. A late one
+//! counts less by [`LATE_COST`].
 
 use std::time::Duration;
 
@@ -11,165 +15,169 @@
 pub mod single;
 mod split;
 
-/// Servers that a prompt may be split over: the first and 16 that help it.
+/// Most servers that read one prompt: the one that writes its answer, and 16 helpers.
 pub const MAX_WIDTH: usize = 17;
 
-/// Milliseconds of reading alone from which a prompt takes the whole lane.
+/// Reading time on one server, in milliseconds, from which a prompt is long and takes a turn on the
+/// whole reading lane.
 const LONG_MS: f64 = 900.0;
 
-/// Part of a pause's bound that a pass may fill: what is known of other entries is some
-/// milliseconds old.
-const PAUSE_PART: f64 = 0.85;
+/// Share of a gap limit that a pass may fill. The load known of other entries is some milliseconds
+/// old.
+const GAP_SHARE: f64 = 0.85;
 
-/// Objectives after which a first event is predicted where servers count as full. At 1 the mean
-/// worth on 20 seeded days of a deployment with few such overloads is 0.690, at 2 0.701.
+/// Servers count as full if the first event is predicted after this many objectives. With 1 the
+/// goodput over 20 days on a deployment with few such overloads is 0.690, with 2 it is 0.701.
 const FULL_OBJECTIVES: f64 = 2.0;
 
-/// Part of the time left within which a first event must be predicted to be on time surely: one in
-/// ten of long prompts comes 0.3 to 0.6 s after its prediction.
-const SURE_PART: f64 = 0.6;
+/// A first event that is predicted within this share of the time left is reliably on time: for one
+/// in ten long prompts it comes 0.3 to 0.6 s after its prediction.
+const SAFE_SHARE: f64 = 0.6;
 
-/// Share of a request's worth that is lost when it is late.
-const LATE: f64 = 0.75;
+/// Share of a request's value that is lost when it is late.
+const LATE_COST: f64 = 0.75;
 
-/// Milliseconds for which a server all of whose answers failed lately counts as busy.
+/// Milliseconds for which a server counts as busy if all its recent responses failed.
 const FAILING_MS: f64 = 10_000.0;
 
-/// Milliseconds for which a server that is twice as slow as its model counts as busy: others are
-/// preferred while they have less to do.
+/// Milliseconds for which a server counts as busy if it is twice as slow as its model, so that
+/// others are preferred while they have less to do.
 const SLOW_MS: f64 = 2_000.0;
 
-/// Cost of another zone: decides between equals.
-const ZONE: f64 = 0.003;
+/// Cost of a server in another zone. Decides only between servers that are otherwise equal.
+const ZONE_COST: f64 = 0.003;
 
-/// A request to be placed.
+/// What a request needs from its placement.
 #[derive(Clone, Copy, Debug)]
 pub struct Need {
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt: u64,
-    /// Tokens that its answer is expected to have.
+    /// Expected length of the answer in tokens.
     pub answer: u64,
-    /// Time to its first event that is still on time.
+    /// Time left within which the first event is on time.
     pub objective: Duration,
-    /// Longest pause between its events in milliseconds. 0: none.
+    /// Longest allowed gap between events in milliseconds. 0: no limit.
     pub bound_ms: u32,
-    /// Drawn for each request, so that entries that choose at the same moment among equal servers
-    /// do not all choose the same.
+    /// Random number of the request, so that entries choosing among equal servers at the same
+    /// moment do not all choose the same one.
     pub draw: u64,
 }
 
 impl Need {
-    /// Whether its pauses are tight.
+    /// Whether its gap limit is tight, see [`load::TIGHT_GAP_MS`].
     pub fn is_tight(&self) -> bool {
-        self.bound_ms > 0 && self.bound_ms <= load::TIGHT_PAUSE_MS
+        self.bound_ms > 0 && self.bound_ms <= load::TIGHT_GAP_MS
     }
 }
 
-/// A server that may take it.
+/// A candidate server.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// See [`load::server_key`].
     pub key: u64,
     /// Whether it is in this entry's zone.
     pub near: bool,
-    /// Requests at once.
+    /// Requests that it serves at once.
     pub slots: u32,
-    /// What runs there.
+    /// Load of all entries.
     pub load: load::Load,
     /// Factor by which it is slower than its model.
     pub pace: f64,
-    /// Share of its answers that failed lately.
+    /// Share of its recent responses that failed.
     pub failing: f64,
 }
 
-/// Where a request goes.
+/// Where a request is placed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
-    /// Index of the first server.
+    /// Index of the server that writes the answer.
     pub writer: usize,
-    /// Indexes of those that help it read.
+    /// Indexes of the servers that help to read the prompt.
     pub helpers: Vec<usize>,
-    /// Tokens of memory to set aside at each of those, in their order.
+    /// Tokens of memory to reserve at each helper, in the same order.
     pub reserved: Vec<u64>,
-    /// Milliseconds until its first event, as predicted.
+    /// Predicted milliseconds until the first event.
     pub first_ms: f64,
-    /// Milliseconds that each of them reads.
+    /// Milliseconds that each server takes to read its segment.
     pub segment_ms: f64,
-    /// Milliseconds until what is read there has ended, if it has to wait for that.
+    /// Milliseconds until other long prompts on these servers are read, if this one has to wait for
+    /// them.
     pub delay_ms: f64,
-    /// Whether it takes a turn on the lane of reading.
+    /// Whether the prompt takes a turn on the reading lane.
     pub takes_turn: bool,
 }
 
 impl Place {
-    /// Whether even this best place is so full that a short prompt had better wait at the entry:
-    /// in the server's queue it would make all that come after it late, until their callers leave.
-    /// Without it, 50 of 375 were on time in each two seconds of an overload; the mean worth of
-    /// three days with one is 0.50 without and 0.54 with it.
+    /// Whether even this best place is so full that a short prompt should wait on the entry. In the
+    /// queue of the server it makes all later requests late until their callers leave: 50 of 375
+    /// were on time in each two seconds of an overload. Over three days with an overload the
+    /// goodput is 0.50 without this rule and 0.54 with it.
     pub fn is_full(&self, objective: Duration) -> bool {
         self.first_ms > objective.as_secs_f64() * 1e3 * FULL_OBJECTIVES
     }
 
-    /// Whether its first event comes within `aim` even if it comes later than predicted.
-    pub fn is_surely_on_time(&self, aim: Duration) -> bool {
-        self.first_ms <= aim.as_secs_f64() * 1e3 * SURE_PART
+    /// Whether the first event comes within `objective` even if it comes later than predicted.
+    pub fn is_surely_on_time(&self, objective: Duration) -> bool {
+        self.first_ms <= objective.as_secs_f64() * 1e3 * SAFE_SHARE
     }
 
-    /// Whether a request that waits at a slow server had better go here instead: its prompt is
-    /// read again, which others pay for, so it must be worth it. Under load, when all servers are
-    /// slow, going from one to the other only adds to it: of 80 requests a second 110 moved within
-    /// 0.3 s, and nearly all were late for 8 s.
+    /// Whether a request that waits at a slow server should move here. Its prompt is read again at
+    /// the expense of others, so the move must be worth it. Under load, when all servers are slow,
+    /// moving only adds to it: with 80 requests a second 110 moved within 0.3 s, and nearly all
+    /// were late for 8 s.
     pub fn is_worth_moving(&self, objective: Duration) -> bool {
         self.delay_ms <= 0.0 && self.first_ms <= objective.as_secs_f64() * 1e3
     }
 }
 
-/// Whether a prompt is so long that it takes a turn on the whole lane of reading.
+/// Whether a prompt is so long that it takes a turn on the whole reading lane.
 pub fn is_long(engine: &model::Engine, need: &Need) -> bool {
     !need.is_tight() && engine.read_ms(need.prompt, 1) >= LONG_MS
 }
 
-/// Places a request on engines. `None`: none of them has the memory now.
+/// Places a request on engines. `None`: none of them has enough free memory now.
 ///
-/// `any_waits`: whether a long prompt waits for its turn anywhere.
+/// `has_waiting`: whether a long prompt waits for its turn on any entry.
 pub fn engine(
     engine: &model::Engine,
     need: &Need,
     servers: &[Server],
-    any_waits: bool,
+    has_waiting: bool,
 ) -> Option<Place> {
     if !is_long(engine, need) {
-        let lanes = lane::lanes(servers, any_waits, lane::Sharing::Few);
+        let lanes = lane::lanes(servers, has_waiting, lane::Sharing::Few);
         return short::find(engine, need, servers, &lanes);
     }
-    without_turn(engine, need, servers, any_waits).or_else(|| by_turn(engine, need, servers))
+    without_turn(engine, need, servers, has_waiting).or_else(|| by_turn(engine, need, servers))
 }
 
-/// Places a long prompt that takes its turn: beside nobody with tight pauses, if it is on time so and
-/// others can be read at the same time. On a narrower lane all servers are wanted: with 23 it costs
-/// 0.04 of the long prompts their objective to leave some out.
+/// Places a long prompt that takes its turn. It avoids servers that write answers with tight gap
+/// limits if it is still on time then and other prompts can be read at the same time. On a narrower
+/// lane all servers are needed: with 23 leaving some out makes 0.04 of the long prompts miss their
+/// objective.
 fn by_turn(engine: &model::Engine, need: &Need, servers: &[Server]) -> Option<Place> {
-    // One that has just come needs its lane as one that waits does.
+    // A prompt that has just arrived needs its lane as much as one that waits.
     let lanes = lane::lanes(servers, true, lane::Sharing::None);
     if long::is_wide(engine, need, &lanes) {
-        let calm = long::find(engine, need, servers, &lanes);
-        let calm = calm.filter(|one| one.is_surely_on_time(need.objective));
-        if calm.is_some() {
-            return calm;
+        let without_tight = long::find(engine, need, servers, &lanes);
+        let without_tight = without_tight.filter(|place| place.is_surely_on_time(need.objective));
+        if without_tight.is_some() {
+            return without_tight;
         }
     }
     let lanes = lane::lanes(servers, true, lane::Sharing::Few);
     long::find(engine, need, servers, &lanes)
 }
 
-/// Places a long prompt on servers with room for it beside their writers, if there are enough.
+/// Places a long prompt on servers that have capacity to read while they write, if there are
+/// enough.
 pub fn without_turn(
     engine: &model::Engine,
     need: &Need,
     servers: &[Server],
-    any_waits: bool,
+    has_waiting: bool,
 ) -> Option<Place> {
-    let lanes = lane::lanes(servers, any_waits, lane::Sharing::Few);
+    let lanes = lane::lanes(servers, has_waiting, lane::Sharing::Few);
     split::find(engine, need, servers, &lanes)
 }
 
@@ -179,19 +187,18 @@
     f64::from(server.load.backlog_ms) + server.failing * FAILING_MS + slow
 }
 
-/// Brings servers into the order in which they are free, equal ones in an order of the request's
-/// own.
+/// Sorts servers by when they are free. The order among equal ones differs from request to request.
 fn sort_by_busy(need: &Need, servers: &[Server], order: &mut [usize]) {
-    let mix = |at: usize| mixed(&servers[at], need.draw);
+    let tie_break = |at: usize| shuffled_key(&servers[at], need.draw);
     order.sort_by(|one, other| {
         let (one, other) = (*one, *other);
         let busy = busy_ms(&servers[one]).total_cmp(&busy_ms(&servers[other]));
-        busy.then(mix(one).cmp(&mix(other)))
+        busy.then(tie_break(one).cmp(&tie_break(other)))
     });
 }
 
-/// Milliseconds until a slot is free at a server: one of those who are served ends after its
-/// part of an answer's time.
+/// Milliseconds until a server has a free slot: the requests that it serves end evenly spread over
+/// the time of a whole answer.
 fn queue_ms(engine: &model::Engine, need: &Need, server: &Server) -> f64 {
     let load = &server.load;
     let taken = load.readers + load.writers;
@@ -199,68 +206,68 @@
         return 0.0;
     }
     let steps = need.answer.max(engine.usual_answer) as f64;
-    let whole_ms = steps * engine.step_ms(load.writers, load.context);
-    let over = f64::from(taken - server.slots + 1);
-    over * whole_ms / f64::from(server.slots.max(1))
+    let answer_ms = steps * engine.step_ms(load.writers, load.context);
+    let excess = f64::from(taken - server.slots + 1);
+    excess * answer_ms / f64::from(server.slots.max(1))
 }
 
-/// What reading a prompt costs those that write at a server, or will, by pauses over their
-/// bound.
-fn harm(engine: &model::Engine, server: &Server, part_ms: f64) -> f64 {
+/// Cost of reading a segment at a server to the requests that are or will be written there, if
+/// their gaps exceed their limit.
+fn gap_cost(engine: &model::Engine, server: &Server, segment_ms: f64) -> f64 {
     let load = &server.load;
     let others = load.writers + load.readers;
     if load.bound_ms == 0 || others == 0 {
         return 0.0;
     }
     let pass_ms = engine.pass_ms(load.writers, load.context);
-    let pause_ms = (pass_ms + reading_ms(server) + part_ms) * server.pace.max(1.0);
-    if pause_ms <= f64::from(load.bound_ms) * PAUSE_PART {
+    let gap_ms = (pass_ms + reading_ms(server) + segment_ms) * server.pace.max(1.0);
+    if gap_ms <= f64::from(load.bound_ms) * GAP_SHARE {
         return 0.0;
     }
     let usual = load.memory / u64::from(others);
-    f64::from(others) * LATE * weight(engine, usual)
+    f64::from(others) * LATE_COST * value(engine, usual)
 }
 
-/// Milliseconds of reading that fall into a pause of a server's writers.
+/// Milliseconds of reading that fall into a gap between the events that a server writes.
 fn reading_ms(server: &Server) -> f64 {
     f64::from(server.load.backlog_ms.max(server.load.lately_ms))
 }
 
-/// Costs of a server whatever the request.
-fn beside(server: &Server) -> f64 {
-    let near = if server.near { 0.0 } else { ZONE };
-    crowd(server) + near + server.failing
+/// Costs of a server that do not depend on the request.
+fn fixed_cost(server: &Server) -> f64 {
+    let zone = if server.near { 0.0 } else { ZONE_COST };
+    crowding_cost(server) + zone + server.failing
 }
 
-/// What it costs to write where many do: their steps grow longer.
-fn crowd(server: &Server) -> f64 {
+/// Cost of writing where many answers are written: each makes the steps longer.
+fn crowding_cost(server: &Server) -> f64 {
     let taken = f64::from(server.load.writers + server.load.readers);
     let share = taken / f64::from(server.slots.max(1));
     0.02 * share * share
 }
 
-/// Worth of a request with a prompt of `tokens`, in that of one with a usual prompt. Grows a
+/// Value of a request with a prompt of `tokens`, relative to one with a usual prompt. Grows a
 /// little slower than the prompt: callers wait longer for long ones, but each is one request.
-fn weight(engine: &model::Engine, tokens: u64) -> f64 {
+fn value(engine: &model::Engine, tokens: u64) -> f64 {
     let usual = engine.usual_prompt.max(1) as f64;
     (tokens as f64 / usual).powf(0.75).max(0.1)
 }
 
-/// Places a call on servers of a plain service: the least taken one, in this zone if equal; among
-/// equals, another one for each `draw`.
+/// Places a call on a server of a plain service: the least loaded one, in this zone if equal.
+/// `draw` decides among the remaining ones.
 pub fn plain(servers: &[Server], draw: u64) -> Option<usize> {
-    let cost = |one: &Server| {
-        let taken = f64::from(one.load.readers + one.load.writers);
-        let far = if one.near { 0.0 } else { ZONE };
-        taken / f64::from(one.slots.max(1)) * one.pace.max(1.0) + one.failing * 2.0 + far
+    let cost = |server: &Server| {
+        let taken = f64::from(server.load.readers + server.load.writers);
+        let zone = if server.near { 0.0 } else { ZONE_COST };
+        taken / f64::from(server.slots.max(1)) * server.pace.max(1.0) + server.failing * 2.0 + zone
     };
     let costs = servers.iter().enumerate();
-    let costs = costs.map(|(at, one)| (cost(one), mixed(one, draw), at));
+    let costs = costs.map(|(at, server)| (cost(server), shuffled_key(server, draw), at));
     let least = costs.min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
     least.map(|(_, _, at)| at)
 }
 
-/// A server's place in an order of the request's own.
-fn mixed(server: &Server, draw: u64) -> u64 {
+/// Position of a server in an order that differs from request to request.
+fn shuffled_key(server: &Server, draw: u64) -> u64 {
     (server.key ^ draw).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/src/direct/place/short.rs
+++ b/src/direct/place/short.rs
@@ -1,4 +1,4 @@
-//! Placing a prompt that does not take a turn.
+//! Placement of a prompt that does not take a turn.
 
 use std::time::Duration;
 
@@ -6,28 +6,29 @@
 use crate::direct::model;
 use crate::direct::place;
 
-/// Milliseconds of reading that a part of a shorter prompt is meant to have: three of them fit
-/// beside a pass into a pause of 250 ms. Parts go before all that waits at a server, older parts
-/// among them, so it delays others by no more; and so a long prompt waits for its turn instead:
-/// else the oldest would starve under load (a prompt predicted at 0.7 s took 12 s).
-const PART_MS: f64 = 70.0;
+/// Target reading time of a segment in milliseconds: three of them and a pass fit into a gap of 250
+/// ms. A segment goes before all other work that waits at a server, older segments included, and so
+/// delays others by no more than this. A long prompt waits for its turn instead, since its oldest
+/// segment would starve under load: one prompt predicted at 0.7 s took 12 s.
+const SEGMENT_MS: f64 = 70.0;
 
-/// Part of its objective from which a first event is at risk.
+/// Share of the objective from which a predicted first event may be late.
 const AT_RISK: f64 = 0.6;
 
-/// Cost of writing with a tight pause on a server of the other lane.
-const OTHER_LANE: f64 = 0.35;
+/// Cost of writing with a tight gap limit on a server of another lane.
+const OTHER_LANE_COST: f64 = 0.35;
 
-/// Servers of a lane that are weighed for one request. Entries choose by what they knew of each
-/// other some 50 ms ago: in that time 70 entries send a dozen requests, and weighing all servers
-/// all of them would take the same one. With 112 servers in a burst (played load, 2,272 requests)
-/// 1,591 are on time if all are weighed, 2,118 with 12, 2,187 with 4; on four seeded days the mean
-/// worth is 0.656 with all, 0.703 with 12 and 0.697 with 5.
-const SAMPLE: usize = 4;
+/// Servers of a lane that are compared for one request. Entries choose by what they knew of each
+/// other some 50 ms ago. In that time 70 entries send a dozen requests, and if each compared all
+/// servers, all would choose the same one. With 112 servers in a burst of 2,272 requests 1,591 are
+/// on time if all are compared, 2,118 with 12, and 2,187 with 4; over four days the goodput is
+/// 0.656 with all, 0.703 with 12, and 0.697 with 5.
+const SAMPLE_SIZE: usize = 4;
 
-/// Places a prompt that does not take a turn: it is written in the first lane, where its first
-/// event comes soonest without making others wait. Of one that would stretch their pauses, only
-/// a part is read there; the others go before what is read in the last lane.
+/// Places a prompt that does not take a turn. Its answer is written in the lane for tight gap
+/// limits, where its first event comes soonest without delaying others. If reading it there would
+/// stretch their gaps, only one segment is read there; the others are read by helpers, ahead of the
+/// long prompts of the reading lane.
 pub(super) fn find(
     engine: &model::Engine,
     need: &place::Need,
@@ -37,52 +38,53 @@
     let alone_ms = engine.read_ms(need.prompt, 1);
     let mut helpers: Vec<usize> = (0..servers.len()).collect();
     place::sort_by_busy(need, servers, &mut helpers);
-    // Where nobody writes with tight pauses first; among the others where least was read lately.
+    // Servers that write no answers with tight gap limits come first, then those that were given
+    // the least reading recently.
     helpers.sort_by_key(|at| {
-        let one = &servers[*at];
+        let server = &servers[*at];
         match lanes[*at] {
-            Lane::Read => held_up_ms(one),
-            Lane::Write => 1 + held_up_ms(one),
-            Lane::Tight | Lane::Drain => 2 + place::reading_ms(one) as u32,
+            Lane::Read => start_delay_ms(server),
+            Lane::Write => 1 + start_delay_ms(server),
+            Lane::Tight | Lane::Drain => 2 + place::reading_ms(server) as u32,
         }
     });
-    let width = (alone_ms / PART_MS).ceil().max(1.0) as usize;
+    let width = (alone_ms / SEGMENT_MS).ceil().max(1.0) as usize;
     let width = width.min(place::MAX_WIDTH).min(servers.len().max(1));
-    let part_ms = alone_ms / width as f64;
-    let worth = place::weight(engine, need.prompt);
+    let segment_ms = alone_ms / width as f64;
+    let value = place::value(engine, need.prompt);
     let mut best: Option<(f64, usize, f64)> = None;
     for at in sample(engine, need, servers, lanes) {
-        let one = &servers[at];
-        let first_ms = first_ms(engine, need, one, part_ms);
-        let other = if lanes[at] == Lane::Tight {
+        let server = &servers[at];
+        let first_ms = first_ms(engine, need, server, segment_ms);
+        let lane_cost = if lanes[at] == Lane::Tight {
             0.0
         } else {
-            OTHER_LANE * worth
+            OTHER_LANE_COST * value
         };
-        let cost = lateness(first_ms, need.objective) * worth
-            + place::harm(engine, one, part_ms)
-            + place::beside(one)
-            + other;
+        let cost = lateness(first_ms, need.objective) * value
+            + place::gap_cost(engine, server, segment_ms)
+            + place::fixed_cost(server)
+            + lane_cost;
         if best.is_none_or(|(least, _, _)| cost < least) {
             best = Some((cost, at, first_ms));
         }
     }
-    let (_, first, first_ms) = best?;
-    helpers.retain(|at| *at != first);
+    let (_, writer, first_ms) = best?;
+    helpers.retain(|at| *at != writer);
     helpers.truncate(width - 1);
     Some(place::Place {
-        writer: first,
+        writer,
         reserved: vec![0; helpers.len()],
         helpers,
         first_ms,
-        segment_ms: part_ms,
+        segment_ms,
         delay_ms: 0.0,
         takes_turn: false,
     })
 }
 
-/// Servers that are weighed: those with memory, of each lane [`SAMPLE`] at most, drawn for the
-/// request.
+/// Servers that are compared: those with enough free memory, at most [`SAMPLE_SIZE`] of each lane,
+/// drawn for the request.
 fn sample(
     engine: &model::Engine,
     need: &place::Need,
@@ -94,17 +96,17 @@
         .filter(|at| has_memory(engine, need, &servers[*at]))
         .partition(|at| lanes[*at] == Lane::Tight);
     for lane in [&mut tight, &mut other] {
-        lane.sort_by_key(|at| place::mixed(&servers[*at], need.draw));
-        lane.truncate(SAMPLE);
+        lane.sort_by_key(|at| place::shuffled_key(&servers[*at], need.draw));
+        lane.truncate(SAMPLE_SIZE);
     }
     tight.append(&mut other);
     tight
 }
 
-/// Milliseconds until a part that comes now is begun: where a long prompt is read beside writers,
-/// with the next pass; where nobody writes, before all that waits. Without it the worth of 20
-/// seeded days is 0.646, 0.656 with it.
-fn held_up_ms(server: &place::Server) -> u32 {
+/// Milliseconds until a server starts a new segment. Where a long prompt is read beside writers,
+/// that is with the next pass; where nothing is written, the segment goes before all other work.
+/// Without this the goodput over 20 days is 0.646, with it 0.656.
+fn start_delay_ms(server: &place::Server) -> u32 {
     let load = &server.load;
     if load.writers > 0 && load.long > 0 {
         load.backlog_ms
@@ -113,28 +115,28 @@
     }
 }
 
-/// Milliseconds until the first event of a prompt of which a server reads `part_ms`.
+/// Milliseconds until the first event of a prompt of which a server reads `segment_ms`.
 pub(super) fn first_ms(
     engine: &model::Engine,
     need: &place::Need,
     server: &place::Server,
-    part_ms: f64,
+    segment_ms: f64,
 ) -> f64 {
     let load = &server.load;
     let pass_ms = engine.pass_ms(load.writers + 1, load.context + need.prompt);
     let wait_ms = if load.writers > 0 { pass_ms / 2.0 } else { 0.0 };
-    let reading_ms = f64::from(load.backlog_ms) + part_ms;
+    let reading_ms = f64::from(load.backlog_ms) + segment_ms;
     place::queue_ms(engine, need, server) + (wait_ms + reading_ms + pass_ms) * server.pace.max(1.0)
 }
 
-/// Expected loss of a first event after `first_ms`, in parts of a request's worth.
-fn lateness(first_ms: f64, aim: Duration) -> f64 {
-    let part = first_ms / (aim.as_secs_f64() * 1e3).max(1.0);
-    let risk = ((part - AT_RISK) / (1.1 - AT_RISK)).clamp(0.0, 1.0);
-    0.05 * part + place::LATE * risk
+/// Expected loss by a first event after `first_ms`, as a share of a request's value.
+fn lateness(first_ms: f64, objective: Duration) -> f64 {
+    let share = first_ms / (objective.as_secs_f64() * 1e3).max(1.0);
+    let risk = ((share - AT_RISK) / (1.1 - AT_RISK)).clamp(0.0, 1.0);
+    0.05 * share + place::LATE_COST * risk
 }
 
-/// Whether a request finds memory at a server.
+/// Whether a server has enough free memory for a request.
 fn has_memory(engine: &model::Engine, need: &place::Need, server: &place::Server) -> bool {
     server.load.memory + need.prompt + need.answer <= engine.memory_tokens
 }
--- a/src/direct/rendezvous.rs
+++ b/src/direct/rendezvous.rs
@@ -1,10 +1,11 @@
-//! Rendezvous hashing: which of several processes a backend server falls to.
+//! Rendezvous hashing: which of several processes is responsible for a backend server.
 //!
-//! All that know the same processes agree on it, and when one goes only its servers fall to others.
+//! All processes that know the same members agree on it, and when one leaves, only its servers move
+//! to others.
 
-/// Rank of a process for a server, both by their keys (see [`super::load::key`]): the server falls
-/// to the process that ranks highest. On whole numbers, since each process ranks all processes for
-/// all servers each second.
+/// Rank of a process for a server, both given by their keys (see [`super::load::key`]). The process
+/// with the highest rank is responsible for the server. Integers only, since each process ranks all
+/// processes for all servers each second.
 pub fn rank(server: u64, process: u64) -> u64 {
     // The finalizer of splitmix64: each bit of the input changes half of the output.
     let mut mixed = server ^ process.rotate_left(32);
@@ -13,7 +14,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Whether `server` falls to `me` rather than to one of `others`.
+/// Whether `me` is responsible for `server`, and none of `others`.
 pub fn is_owner(server: u64, me: u64, others: &[u64]) -> bool {
     let own = (rank(server, me), me);
     others
--- a/src/direct/reporter.rs
+++ b/src/direct/reporter.rs
@@ -1,36 +1,41 @@
-//! What an entry tells others of what runs there: all of it, or what changed since it last did.
+//! Load reports of an entry to its peers: complete ones, and ones of what changed since the last.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use super::load;
 
-/// What was last told.
+/// Builds load reports. Keeps what was last reported.
 #[derive(Debug, Default)]
 pub struct Reporter {
-    told: HashMap<u64, load::Load>,
+    reported: HashMap<u64, load::Load>,
 }
 
 impl Reporter {
-    /// What is to be told of `board` now; `whole`: all of it.
+    /// The next report on `table`; a complete one if `whole`.
     ///
-    /// Of a server that an entry uses no more it goes on to tell what it has given it in all. Told
-    /// as 0, it took the work of all other entries from what is known of that server: with 70
-    /// entries before 112 servers, one in eight of those with 0.3 s and more to read looked half free.
-    pub fn next(&mut self, board: &load::Table, now: Duration, whole: bool) -> load::Report {
-        let own = board.own_loads(now);
-        let own: HashMap<u64, load::Load> = own.into_iter().map(|one| (one.server, one)).collect();
-        let is_news = |one: &&load::Load| whole || self.told.get(&one.server) != Some(*one);
-        let mut loads: Vec<load::Load> = own.values().filter(is_news).copied().collect();
+    /// Of a server that the entry no longer uses it still reports the total work given. Reported as
+    /// 0, it would subtract the work of all other entries from the known backlog of that server:
+    /// with 70 entries and 112 servers, one in eight of those with 0.3 s and more to read looked
+    /// half idle.
+    pub fn next(&mut self, table: &load::Table, now: Duration, whole: bool) -> load::Report {
+        let own = table.own_loads(now);
+        let own: HashMap<u64, load::Load> =
+            own.into_iter().map(|load| (load.server, load)).collect();
+        let is_due = |load: &&load::Load| whole || self.reported.get(&load.server) != Some(*load);
+        let mut loads: Vec<load::Load> = own.values().filter(is_due).copied().collect();
         if !whole {
-            let gone = self.told.keys().filter(|one| !own.contains_key(*one));
-            loads.extend(gone.map(|server| board.idle_load(*server)));
+            let unused = self
+                .reported
+                .keys()
+                .filter(|server| !own.contains_key(*server));
+            loads.extend(unused.map(|server| table.idle_load(*server)));
         }
-        self.told = own;
+        self.reported = own;
         load::Report {
             whole,
             loads,
-            waiting: board.waiting_ranks(),
+            waiting: table.waiting_ranks(),
         }
     }
 }
--- a/src/direct/subset.rs
+++ b/src/direct/subset.rs
@@ -1,41 +1,41 @@
-//! The part of a large fleet that a request is placed in.
+//! The subset of a large fleet that a request is placed in.
 //!
-//! Placing weighs and sorts all servers that it may take, and a prompt is read by 17 of them at
-//! most. On a fleet of thousands that costs an entry its processor time and gains nothing, so the
-//! servers are split by their keys, alike at all entries, and each request draws its part.
+//! Placement compares and sorts all candidate servers, and a prompt is read by 17 of them at most.
+//! On a fleet of thousands that costs an entry processor time and gains nothing. So the servers are
+//! split by their keys, in the same way on all entries, and each request draws its subset.
 
-/// Most servers of a part that are expected. Parts are halves of halves, so most have fewer.
+/// Most servers that are expected in a subset. Subsets are halves of halves, so most have fewer.
 pub const MAX_SERVERS: usize = 256;
 
-/// A part of a fleet: the servers whose keys begin with the same bits.
+/// A subset of a fleet: the servers whose keys begin with the same bits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Subset {
-    /// How many leading bits are the same. 0: the whole fleet.
+    /// Number of leading bits that are the same. 0: the whole fleet.
     bits: u32,
-    /// These bits. Invariant: under `1 << bits`.
-    lead: u64,
+    /// Value of these bits. Invariant: under `1 << bits`.
+    prefix: u64,
 }
 
 impl Subset {
     /// The whole fleet.
-    pub const WHOLE: Self = Self { bits: 0, lead: 0 };
+    pub const WHOLE: Self = Self { bits: 0, prefix: 0 };
 
-    /// The part of a fleet of `servers` in which a request with this draw is placed.
+    /// Subset of a fleet of `servers` in which a request with this draw is placed.
     pub fn draw(servers: usize, draw: u64) -> Self {
-        let parts = servers.div_ceil(MAX_SERVERS).max(1).next_power_of_two();
-        let bits = parts.trailing_zeros();
+        let subsets = servers.div_ceil(MAX_SERVERS).max(1).next_power_of_two();
+        let bits = subsets.trailing_zeros();
         Self {
             bits,
-            lead: lead(draw, bits),
+            prefix: prefix(draw, bits),
         }
     }
 
-    /// Whether the server with this key belongs to it.
+    /// Whether the server with this key belongs to the subset.
     pub fn contains(self, key: u64) -> bool {
-        lead(key, self.bits) == self.lead
+        prefix(key, self.bits) == self.prefix
     }
 }
 
-fn lead(key: u64, bits: u32) -> u64 {
+fn prefix(key: u64, bits: u32) -> u64 {
     key.checked_shr(u64::BITS - bits).unwrap_or(0)
 }
--- a/src/direct/writing.rs
+++ b/src/direct/writing.rs
@@ -1,14 +1,15 @@
-//! How long answers take to be written, against the time model: servers read beside writing, and
-//! callers' estimates of an answer's length are far off.
+//! How long answers take to be written, compared with the time model. The model alone is not
+//! enough: servers read prompts while they write, and callers' estimates of an answer's length are
+//! far off.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of one answer in the average.
+/// Weight of one answer in the moving average.
 const WEIGHT: f64 = 1.0 / 16.0;
 
-/// Ratio that is expected of a service none of whose answers was seen yet, and its deviation.
-const UNSEEN: Ratio = Ratio {
+/// Expected for a service without any finished answer.
+const UNKNOWN: Ratio = Ratio {
     mean: 1.5,
     deviation: 0.5,
 };
@@ -16,8 +17,8 @@
 /// Deviations above the mean within which an answer is expected to end.
 const MARGIN: f64 = 1.0;
 
-/// Bounds of one answer's ratio: one that was far off must not decide for a hundred others.
-const BOUNDS: (f64, f64) = (0.1, 8.0);
+/// Limits of one answer's ratio, so that an outlier does not decide for a hundred others.
+const RATIO_LIMITS: (f64, f64) = (0.1, 8.0);
 
 #[derive(Clone, Copy, Debug)]
 struct Ratio {
@@ -26,28 +27,27 @@
     deviation: f64,
 }
 
-/// The time that answers took to be written over the time that the model gives, by service.
+/// Ratio of the time that answers took to be written to the modelled time, by service.
 #[derive(Clone, Debug, Default)]
 pub struct Writing {
     services: HashMap<String, Ratio>,
 }
 
 impl Writing {
-    /// An answer of `service` was written in `took`, where the model gives `expected`.
+    /// Records that an answer of `service` was written in `took`, where the model gives `expected`.
     pub fn observe(&mut self, service: &str, took: Duration, expected: Duration) {
         if expected.is_zero() {
             return;
         }
         let ratio = took.as_secs_f64() / expected.as_secs_f64();
-        let ratio = ratio.clamp(BOUNDS.0, BOUNDS.1);
-        let known = self.services.entry(service.to_owned()).or_insert(UNSEEN);
-        let off = ratio - known.mean;
-        known.mean += off * WEIGHT;
-        known.deviation += (off.abs() - known.deviation) * WEIGHT;
+        let ratio = ratio.clamp(RATIO_LIMITS.0, RATIO_LIMITS.1);
+        let known = self.services.entry(service.to_owned()).or_insert(UNKNOWN);
+        let difference = ratio - known.mean;
+        known.mean += difference * WEIGHT;
+        known.deviation += (difference.abs() - known.deviation) * WEIGHT;
     }
 
-    /// Time in which an answer of `service` is written on average, where the model gives
-    /// `expected`.
+    /// Mean time to write an answer of `service` for which the model gives `expected`.
     pub fn mean(&self, service: &str, expected: Duration) -> Duration {
         expected.mul_f64(self.ratio(service).mean)
     }
@@ -59,6 +59,6 @@
     }
 
     fn ratio(&self, service: &str) -> &Ratio {
-        self.services.get(service).unwrap_or(&UNSEEN)
+        self.services.get(service).unwrap_or(&UNKNOWN)
     }
 }
