--- a/src/direct.rs
+++ b/src/direct.rs
@@ -1,9 +1,10 @@
-//! Decisions of an entry that drives backend servers itself, with no sidecar between.
+//! Decisions of an entry that calls backend servers directly, without sidecars.
 //!
-//! The backend server is the last judge of its own room: it refuses truthfully what it cannot
-//! run. So a stale view costs one cheap refusal, and what must run at most once needs no
-//! agreement: each request has one entry, and that entry sends it a second time only after
-//! "not run". No input, output or clock here.
+//! A backend server reads the prompt of a request (prefill), then writes the answer (decode) and
+//! streams it as events. It alone knows its free capacity and rejects what it cannot run, so acting
+//! on a stale view costs one cheap rejection. Requests that must run at most once need no agreement
+//! between entries: each request belongs to one entry, which sends it again only after "not run".
+//! This module does no input or output and reads no clock.
 
 pub mod backlog;
 pub mod budget;
