--- a/tests/answer_forecast.rs
+++ b/tests/answer_forecast.rs
@@ -1,4 +1,4 @@
-//! How long answers are expected to be written, by what was seen of others.
+//! Expected time to write an answer, learned from earlier answers.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn after(ratios: &[f64]) -> Duration {
+fn learned(ratios: &[f64]) -> Duration {
     let mut writing = Writing::default();
     for ratio in ratios {
         writing.observe("pool", SECOND.mul_f64(*ratio), SECOND);
@@ -15,39 +15,40 @@
 }
 
 #[test]
-fn unseen_service() {
+fn unknown_service() {
     let writing = Writing::default();
     assert!(
         writing.upper_bound("pool", SECOND) > SECOND,
-        "servers read beside writing"
+        "servers read prompts while they write"
     );
     assert_eq!(writing.upper_bound("pool", Duration::ZERO), Duration::ZERO);
 }
 
 #[test]
 fn learns_pace() {
-    let steady = after(&[3.0; 100]);
+    let steady = learned(&[3.0; 100]);
     assert!(
         steady > SECOND * 29 / 10 && steady < SECOND * 33 / 10,
         "{steady:?}"
     );
     let mixed: Vec<f64> = (0..100).map(|one| f64::from(one % 5) + 1.0).collect();
     assert!(
-        after(&mixed) > SECOND * 35 / 10,
-        "most of them, not the half"
+        learned(&mixed) > SECOND * 35 / 10,
+        "it must cover most answers, not half of them"
     );
 }
 
-/// One answer that was far longer than its caller thought does not turn the next ones away.
+/// One answer that is far longer than its caller estimated must not cause later requests to be
+/// rejected.
 #[test]
 fn one_outlier() {
     let mut ratios = vec![1.0; 50];
     ratios.push(1e6);
-    assert!(after(&ratios) < SECOND * 2);
+    assert!(learned(&ratios) < SECOND * 2);
 }
 
 #[test]
-fn services_apart() {
+fn services_independent() {
     let mut writing = Writing::default();
     for _ in 0..50 {
         writing.observe("slow", SECOND * 5, SECOND);
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn mean_below_most() {
+fn mean_below_upper_bound() {
     let mut writing = Writing::default();
     for at in 0..100 {
         writing.observe("pool", SECOND * (1 + at % 4), SECOND);
--- a/tests/engine_places.rs
+++ b/tests/engine_places.rs
@@ -1,4 +1,4 @@
-//! Where prompts are placed, and what entries know of each other's work.
+//! Placement of prompts, and what entries know of each other's load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -45,11 +45,11 @@
     };
 }
 
-fn put(need: &Need, servers: &[Server]) -> place::Place {
+fn placed(need: &Need, servers: &[Server]) -> place::Place {
     place::engine(&engine(), need, servers, !need.is_tight()).expect("there is room")
 }
 
-/// The arithmetic of the published time model, to a part in fifty.
+/// The published time model, within two percent.
 #[test]
 fn reading_times() {
     let engine = engine();
@@ -71,19 +71,19 @@
 
 #[test]
 fn short_stays_alone() {
-    let place = put(&short(5_000), &servers(8));
+    let place = placed(&short(5_000), &servers(8));
     assert!(place.helpers.is_empty());
     assert!(place.first_ms < 150.0, "{place:?}");
 }
 
-/// Nothing long is read, and nobody with long pauses writes, where pauses are tight.
+/// Where gap limits are tight, nothing long is read and no answer with a long gap limit is written.
 #[test]
 fn long_keeps_apart() {
     let mut servers = servers(14);
     for server in &mut servers[..4] {
         write_tight(server, 8);
     }
-    let place = put(&long(182_000), &servers);
+    let place = placed(&long(182_000), &servers);
     let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
     for at in place.helpers.iter().chain([&place.writer]) {
         assert_ne!(lanes[*at], Lane::Tight, "{place:?}");
@@ -99,12 +99,13 @@
     write_tight(&mut servers[0], 3);
     write_tight(&mut servers[1], 3);
     servers[0].load.backlog_ms = 800;
-    let place = put(&short(5_000), &servers);
+    let place = placed(&short(5_000), &servers);
     assert_eq!(place.writer, 1, "{place:?}");
 }
 
-/// While short work holds every server, a long prompt that comes is not read beside all of it: 14
-/// servers with 15 writers each would pause for 0.2 s and more, 210 requests late for one.
+/// While short requests occupy every server, a long prompt must not be read beside all of them: 14
+/// servers with 15 writers each would pause for 0.2 s and more, and 210 requests would be late for
+/// one.
 #[test]
 fn long_in_burst() {
     let mut servers = servers(14);
@@ -116,20 +117,21 @@
     assert!(place.helpers.is_empty(), "{place:?}");
 }
 
-/// A prompt that would stretch its neighbours' pauses over their bound is read in parts.
+/// A prompt that would stretch the gaps of other answers over their limit is split into segments.
 #[test]
 fn large_short_split() {
     let mut servers = servers(10);
     for server in &mut servers[..3] {
         write_tight(server, 6);
     }
-    let place = put(&short(23_000), &servers);
+    let place = placed(&short(23_000), &servers);
     assert!(!place.helpers.is_empty());
     let pass = engine().pass_ms(7, 60_000);
     assert!(pass + place.segment_ms < 250.0 * 0.85, "{place:?}");
 }
 
-/// A burst of short work leaves one server to the lane of reading: parts go to others as well.
+/// A burst of short requests leaves one server to the reading lane, so segments go to other lanes
+/// as well.
 #[test]
 fn split_beside_writers() {
     let mut servers = servers(14);
@@ -144,25 +146,25 @@
         objective: Duration::from_millis(1_500),
         ..short(45_000)
     };
-    let place = put(&need, &servers);
+    let place = placed(&need, &servers);
     assert_eq!(place.helpers.len(), 6, "{place:?}");
     assert!(place.segment_ms < 70.0, "{place:?}");
 }
 
-/// Reads that follow each other closely stretch a pause as one of their sum does.
+/// Several reads in quick succession stretch a gap as much as one read of the same total.
 #[test]
 fn reads_add_up() {
-    let mut board = Table::default();
+    let mut table = Table::default();
     for at in 0..6 {
         let now = NOW + Duration::from_millis(40) * at;
-        let ticket = board.insert(now, claim(1, 35.0));
-        board.start_writing(ticket);
+        let ticket = table.insert(now, claim(1, 35.0));
+        table.start_writing(ticket);
     }
     let now = NOW + Duration::from_millis(210);
-    let load = board.view(now)[&1];
-    assert!(load.backlog_ms < 40, "the rest is read: {load:?}");
+    let load = table.view(now)[&1];
+    assert!(load.backlog_ms < 40, "the rest has been read: {load:?}");
     assert!(load.lately_ms > 120, "{load:?}");
-    let later = board.view(now + Duration::from_secs(1))[&1];
+    let later = table.view(now + Duration::from_secs(1))[&1];
     assert!(later.lately_ms < 10, "{later:?}");
 
     let mut servers = servers(2);
@@ -170,35 +172,39 @@
         write_tight(server, 8);
     }
     servers[0].load.lately_ms = 150;
-    let place = put(&short(5_000), &servers);
+    let place = placed(&short(5_000), &servers);
     assert_eq!(place.writer, 1, "{place:?}");
 }
 
 #[test]
 fn lanes_follow_load() {
     let mut servers = servers(14);
-    let kept = |servers: &[Server], waits: bool| {
+    let tight_servers = |servers: &[Server], waits: bool| {
         let lanes = lane::lanes(servers, waits, lane::Sharing::Few);
         lanes.iter().filter(|lane| **lane == Lane::Tight).count()
     };
-    assert_eq!(kept(&servers, true), 2, "two at least, that one may fail");
+    assert_eq!(
+        tight_servers(&servers, true),
+        2,
+        "at least two, since one may fail"
+    );
     for server in &mut servers {
         write_tight(server, 14);
     }
     assert_eq!(
-        kept(&servers, false),
+        tight_servers(&servers, false),
         14,
-        "all, while nothing long is there"
+        "all, while there is nothing long"
     );
     assert_eq!(
-        kept(&servers, true),
+        tight_servers(&servers, true),
         13,
-        "one at least is left to long ones"
+        "at least one is left to long prompts"
     );
 }
 
-/// A server given back by the lane of tight pauses is not read on before its writers are done.
-/// Where a long answer is written stays the lane of writing when the border between lanes moves.
+/// The server where a long answer is written stays in the writing lane when the borders between
+/// lanes move.
 #[test]
 fn writer_stays() {
     let mut servers = servers(14);
@@ -210,14 +216,14 @@
         }
         let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
         assert_eq!(lanes[9], Lane::Write, "{busy} busy: {lanes:?}");
-        let place = put(&long(182_000), &servers);
+        let place = placed(&long(182_000), &servers);
         assert!(!place.helpers.contains(&9), "{place:?}");
     }
 }
 
-/// Parts of shorter prompts keep away from servers where a long read fills a writer's pass.
+/// Segments of shorter prompts avoid servers where a long read fills the passes of a writer.
 #[test]
-fn parts_avoid_passes() {
+fn segments_avoid_passes() {
     let mut servers = servers(14);
     for server in &mut servers[3..] {
         server.load.long = 1;
@@ -233,14 +239,15 @@
             draw,
             ..short(28_000)
         };
-        let place = put(&need, &servers);
+        let place = placed(&need, &servers);
         assert!(!place.helpers.is_empty(), "{place:?}");
-        let holds = |at: &usize| servers[*at].load.writers > 0;
-        assert!(!place.helpers.iter().any(holds), "{place:?}");
+        let writes = |at: &usize| servers[*at].load.writers > 0;
+        assert!(!place.helpers.iter().any(writes), "{place:?}");
     }
 }
 
-/// A long prompt is not read beside writers whose pauses it would stretch while others are free.
+/// A long prompt is not read beside writers whose gaps it would stretch while other servers are
+/// free.
 #[test]
 fn calm_servers_read() {
     let mut servers = servers(14);
@@ -248,39 +255,40 @@
         write_tight(server, 12);
     }
     write_tight(&mut servers[12], 2);
-    let place = put(&long(182_000), &servers);
+    let place = placed(&long(182_000), &servers);
     assert!(
         place.helpers.len() > 5 && !place.helpers.contains(&12),
         "{place:?}"
     );
 }
 
-/// The next long prompt begins when the first event of the one before has come, not when it was
-/// expected: else both end with the later.
+/// The next long prompt starts when the first event of the previous one has come, not when it was
+/// predicted. Otherwise both would end with the later one.
 #[test]
-fn turn_after_first() {
+fn turn_after_first_event() {
     let mut servers = servers(14);
     for server in &mut servers {
         server.load.long = 1;
     }
-    let waits = put(&long(182_000), &servers);
+    let waits = placed(&long(182_000), &servers);
     assert!(waits.delay_ms > 0.0, "{waits:?}");
     for server in &mut servers {
         server.load.long = 0;
     }
-    let goes = put(&long(182_000), &servers);
+    let goes = placed(&long(182_000), &servers);
     assert!(goes.delay_ms <= 0.0, "{goes:?}");
 }
 
+/// A server that leaves the lane for tight gap limits is not read on before its writers are done.
 #[test]
-fn drains_before_reads() {
+fn drains_before_reading() {
     let mut servers = servers(14);
     for server in &mut servers[..5] {
         write_tight(server, 8);
     }
     let lanes = lane::lanes(&servers, true, lane::Sharing::Few);
     assert_eq!(lanes[4], Lane::Drain, "{lanes:?}");
-    let place = put(&long(182_000), &servers);
+    let place = placed(&long(182_000), &servers);
     assert!(
         place.writer != 4 && !place.helpers.contains(&4),
         "{place:?}"
@@ -299,10 +307,10 @@
         server.load.backlog_ms = 400;
         server.load.long = 1;
     }
-    assert!(put(&long(182_000), &servers).delay_ms > 0.0);
+    assert!(placed(&long(182_000), &servers).delay_ms > 0.0);
     assert!(
-        put(&short(5_000), &servers).delay_ms <= 0.0,
-        "a short one never waits"
+        placed(&short(5_000), &servers).delay_ms <= 0.0,
+        "a short prompt never waits"
     );
 }
 
@@ -310,23 +318,23 @@
 fn slow_left_out() {
     let mut servers = servers(12);
     servers[9].pace = 4.0;
-    let place = put(&long(182_000), &servers);
+    let place = placed(&long(182_000), &servers);
     assert!(
         !place.helpers.contains(&9) && place.writer != 9,
         "{place:?}"
     );
 }
 
-/// What does not fit one server's memory is set aside at helpers: enough, and no more there than
-/// they have.
+/// What exceeds the memory of one server is reserved at helpers: enough, and at no helper more than
+/// it has.
 #[test]
 fn larger_than_memory() {
     let mut servers = servers(14);
     servers[12].load.memory = 300_000;
     let need = long(900_000);
-    let place = put(&need, &servers);
-    let aside: u64 = place.reserved.iter().sum();
-    assert!(aside + 405_000 >= need.prompt + need.answer, "{place:?}");
+    let place = placed(&need, &servers);
+    let reserved: u64 = place.reserved.iter().sum();
+    assert!(reserved + 405_000 >= need.prompt + need.answer, "{place:?}");
     assert!(place.helpers.len() < place::MAX_WIDTH);
     for (at, tokens) in place.helpers.iter().zip(&place.reserved) {
         let free = 405_000 - servers[*at].load.memory;
@@ -348,7 +356,7 @@
 
 #[test]
 fn most_helpers() {
-    let place = put(&long(400_000), &servers(60));
+    let place = placed(&long(400_000), &servers(60));
     assert!(
         place.helpers.len() < place::MAX_WIDTH,
         "{}",
@@ -396,11 +404,11 @@
     }
 }
 
-fn told(board: &Table, now: Duration, whole: bool) -> load::Report {
+fn report(table: &Table, now: Duration, whole: bool) -> load::Report {
     load::Report {
         whole,
-        loads: board.own_loads(now),
-        waiting: board.waiting_ranks(),
+        loads: table.own_loads(now),
+        waiting: table.waiting_ranks(),
     }
 }
 
@@ -408,44 +416,47 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-const LIFE: id::Incarnation = id::Incarnation(1);
+const INCARNATION: id::Incarnation = id::Incarnation(1);
 
-/// Words that are lost, doubled or late change nothing in the end.
+/// Lost, duplicated and late reports make no difference in the end.
 #[test]
-fn lost_words() {
+fn lost_reports() {
     let mut here = Table::default();
     let mut there = Table::default();
-    let mut words = Vec::new();
+    let mut reports = Vec::new();
     for _ in 0..5 {
         there.insert(NOW, claim(7, 100.0));
-        words.push(told(&there, NOW, true));
+        reports.push(report(&there, NOW, true));
     }
     for (seq, at) in [(1, 0), (4, 3), (2, 1), (4, 3), (5, 4)] {
-        here.apply(NOW, from(1), LIFE, seq, words[at].clone());
+        here.apply(NOW, from(1), INCARNATION, seq, reports[at].clone());
     }
     let load = here.view(NOW)[&7];
     assert_eq!((load.readers, load.backlog_ms), (5, 500));
 }
 
 #[test]
-fn work_runs_off() {
-    let mut board = Table::default();
-    let ticket = board.insert(NOW, claim(7, 400.0));
+fn backlog_shrinks() {
+    let mut table = Table::default();
+    let ticket = table.insert(NOW, claim(7, 400.0));
     let later = NOW + Duration::from_millis(300);
-    assert_eq!(board.view(later)[&7].backlog_ms, 100);
-    board.remove(later, ticket);
-    assert_eq!(board.view(later).get(&7).map_or(0, |one| one.backlog_ms), 0);
+    assert_eq!(table.view(later)[&7].backlog_ms, 100);
+    table.remove(later, ticket);
+    assert_eq!(
+        table.view(later).get(&7).map_or(0, |load| load.backlog_ms),
+        0
+    );
 }
 
-/// A server that takes longer than predicted does not look free at once, nor busy for good.
+/// A server that takes longer than predicted does not look idle at once, nor busy for good.
 #[test]
 fn overdue_read() {
-    let mut board = Table::default();
-    board.insert(NOW, claim(7, 400.0));
+    let mut table = Table::default();
+    table.insert(NOW, claim(7, 400.0));
     let just_over = NOW + Duration::from_millis(450);
-    assert_eq!(board.view(just_over)[&7].backlog_ms, 200);
+    assert_eq!(table.view(just_over)[&7].backlog_ms, 200);
     let long_over = NOW + Duration::from_secs(5);
-    assert_eq!(board.view(long_over)[&7].backlog_ms, 0);
+    assert_eq!(table.view(long_over)[&7].backlog_ms, 0);
 }
 
 #[test]
@@ -455,40 +466,40 @@
     assert!(here.is_first(NOW, ticket, 900));
     let mut there = Table::default();
     there.enqueue(None, 300);
-    here.apply(NOW, from(1), LIFE, 1, told(&there, NOW, true));
+    here.apply(NOW, from(1), INCARNATION, 1, report(&there, NOW, true));
     assert!(!here.is_first(NOW, ticket, 900));
-    // The other entry has died: nobody waits for it for long.
+    // The other entry has crashed and blocks this one no longer.
     assert!(here.is_first(NOW + Duration::from_secs(2), ticket, 900));
 }
 
-/// Who has just come does not go before those that wait and are shorter.
+/// A new prompt does not go before shorter ones that already wait.
 #[test]
 fn newcomer_waits() {
     let mut here = Table::default();
     here.enqueue(None, 300);
     let mut there = Table::default();
     there.enqueue(None, 500);
-    here.apply(NOW, from(1), LIFE, 1, told(&there, NOW, true));
+    here.apply(NOW, from(1), INCARNATION, 1, report(&there, NOW, true));
     assert_eq!(here.ahead(NOW, 200), 0);
     assert_eq!(here.ahead(NOW, 400), 1);
     assert_eq!(here.ahead(NOW, 600), 2);
     assert_eq!(
         here.ahead(NOW + Duration::from_secs(2), 600),
         1,
-        "it has died"
+        "the other entry has crashed"
     );
 }
 
-/// While all servers are slow a request stays where it is.
+/// While all servers are slow, a request stays where it is.
 #[test]
 fn moves_if_better() {
     let objective = Duration::from_millis(300);
     let mut servers = servers(4);
-    assert!(put(&short(5_000), &servers).is_worth_moving(objective));
+    assert!(placed(&short(5_000), &servers).is_worth_moving(objective));
     for server in &mut servers {
         write_tight(server, 18);
     }
-    let place = put(&short(5_000), &servers);
+    let place = placed(&short(5_000), &servers);
     assert!(!place.is_worth_moving(objective), "{place:?}");
     let mut waits = place;
     waits.first_ms = 100.0;
@@ -496,18 +507,21 @@
     assert!(!waits.is_worth_moving(objective));
 }
 
-/// In an overload short prompts wait at the entry, not in the queues of servers.
+/// In an overload short prompts wait on the entry, not in the queues of servers.
 #[test]
-fn full_servers_hold() {
+fn full_servers_queue() {
     let objective = Duration::from_millis(300);
     let mut servers = servers(4);
     for server in &mut servers {
         write_tight(server, 16);
     }
-    assert!(!put(&short(5_000), &servers).is_full(objective), "a moment");
+    assert!(
+        !placed(&short(5_000), &servers).is_full(objective),
+        "a short queue is no overload"
+    );
     for server in &mut servers {
         write_tight(server, 24);
     }
-    let place = put(&short(5_000), &servers);
+    let place = placed(&short(5_000), &servers);
     assert!(place.is_full(objective), "{place:?}");
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Bursts of long prompts on a large fleet, played against the decisions of many entries: whether
-//! callers get their first event in time, and what those who write there meanwhile feel.
+//! Simulates bursts of long prompts on a large fleet with many entries: whether callers get their
+//! first event in time, and how long the gaps of other answers grow meanwhile.
 
 use std::time::Duration;
 
@@ -20,19 +20,20 @@
 
 const SERVERS: usize = 112;
 const SLOTS: u32 = 10;
-/// Writers with pauses of 300 ms: a usual load of short work between its bursts.
+/// Answers with gap limits of 300 ms that are being written: a usual load of short requests between
+/// its bursts.
 const TIGHT: u32 = 104;
 const TIGHT_BOUND_MS: u32 = 300;
 const DEADLINE: Duration = Duration::from_secs(15);
 const STEP: Duration = Duration::from_millis(15);
 /// Time after which a turn that was taken is known to all that wait.
-const NEWS: Duration = Duration::from_millis(60);
+const TURN_KNOWN_AFTER: Duration = Duration::from_millis(60);
 /// The first event comes with the end of a pass.
 const PASS: Duration = Duration::from_millis(75);
 const WRITES: Duration = Duration::from_millis(1_300);
 
 struct Caller {
-    came: Duration,
+    arrived: Duration,
     prompt: u64,
     draw: u64,
 }
@@ -43,18 +44,18 @@
     read_at: Duration,
 }
 
-/// What became of callers.
+/// How many requests ended how.
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: u32,
+    requests: u32,
     on_time: u32,
     late: u32,
-    given_up: u32,
-    /// Servers with tight pauses that were made to read longer than these allow.
-    harmed: u32,
+    abandoned: u32,
+    /// Servers with tight gap limits that had to read longer than these allow.
+    disturbed: u32,
 }
 
-/// Engines that read one part after the other.
+/// Engines that read one segment after the other.
 struct Fleet {
     tight: Vec<u32>,
     free_at: Vec<Duration>,
@@ -63,9 +64,10 @@
 
 impl Fleet {
     fn new() -> Self {
-        // As packed by the lane of tight pauses.
-        let a_server = SLOTS * 6 / 10;
-        let tight = (0..SERVERS as u32).map(|at| TIGHT.saturating_sub(at * a_server).min(a_server));
+        // As packed by the lane for tight gap limits.
+        let per_server = SLOTS * 6 / 10;
+        let tight =
+            (0..SERVERS as u32).map(|at| TIGHT.saturating_sub(at * per_server).min(per_server));
         Self {
             tight: tight.collect(),
             free_at: vec![Duration::ZERO; SERVERS],
@@ -77,17 +79,17 @@
         let mut out: Vec<Server> = (0..SERVERS).map(|at| self.server(now, at)).collect();
         for run in self.runs.iter().filter(|one| now < one.read_at + WRITES) {
             let reads = now < run.read_at;
-            let first = &mut out[run.place.writer].load;
-            first.memory += run.prompt;
-            first.bound_ms = first
+            let writer = &mut out[run.place.writer].load;
+            writer.memory += run.prompt;
+            writer.bound_ms = writer
                 .bound_ms
                 .min(1_200)
-                .max(u32::from(first.bound_ms == 0) * 1_200);
+                .max(u32::from(writer.bound_ms == 0) * 1_200);
             if reads {
-                first.readers += 1;
+                writer.readers += 1;
             } else {
-                first.writers += 1;
-                first.context += run.prompt;
+                writer.writers += 1;
+                writer.context += run.prompt;
             }
             if reads && run.place.takes_turn {
                 for at in run.place.helpers.iter().chain([&run.place.writer]) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Starts a prompt; when its first event comes.
+    /// Starts a prompt and returns when its first event comes.
     fn start(&mut self, now: Duration, prompt: u64, place: Place) -> Duration {
         let part = Duration::from_secs_f64(place.segment_ms / 1e3);
         let mut read_at = now;
@@ -136,8 +138,8 @@
         read_at
     }
 
-    /// Servers whose tight writers wait too long for `place`.
-    fn harmed(&self, place: &Place) -> u32 {
+    /// Number of servers whose tight gap limits `place` exceeds.
+    fn disturbed(&self, place: &Place) -> u32 {
         let all = place.helpers.iter().chain([&place.writer]);
         let most = f64::from(TIGHT_BOUND_MS) - 75.0;
         all.filter(|at| self.tight[**at] > 0 && place.segment_ms > most)
@@ -145,7 +147,8 @@
     }
 }
 
-/// Callers that come at `per_s` for `span`; prompts of 260,000 tokens in the mean, up to 900,000.
+/// Callers arriving at `per_s` for `span`, with prompts of 260,000 tokens on average, up to
+/// 900,000.
 fn callers(seed: u64, per_s: f64, span: Duration) -> Vec<Caller> {
     let mut draw = StdRng::seed_from_u64(seed);
     let mut out = Vec::new();
@@ -153,7 +156,7 @@
     while at < span.as_secs_f64() {
         let spread: f64 = (0..6).map(|_| draw.random_range(-1.0..1.0)).sum();
         out.push(Caller {
-            came: Duration::from_secs_f64(at),
+            arrived: Duration::from_secs_f64(at),
             prompt: ((224_000.0 * (spread * 0.389).exp()) as u64).min(900_000),
             draw: draw.random(),
         });
@@ -167,29 +170,31 @@
     engines::route(Kind::Stream, Duration::from_secs(4), pause)
 }
 
-fn play(callers: &[Caller]) -> Outcome {
+fn simulate(callers: &[Caller]) -> Outcome {
     let (engine, route) = (engines::engine(), route());
     let mut fleet = Fleet::new();
     let mut outcome = Outcome {
-        asked: callers.len() as u32,
+        requests: callers.len() as u32,
         ..Outcome::default()
     };
-    let mut coming = callers.iter().peekable();
+    let mut arriving = callers.iter().peekable();
     let mut waiting: Vec<&Caller> = Vec::new();
     let (mut now, mut turn_at) = (Duration::ZERO, Duration::ZERO);
-    while coming.peek().is_some() || !waiting.is_empty() {
-        let wait = |one: &Caller| {
-            let waited = now.saturating_sub(one.came);
+    while arriving.peek().is_some() || !waiting.is_empty() {
+        let budget = |one: &Caller| {
+            let waited = now.saturating_sub(one.arrived);
             Budget::new(&route, waited, DEADLINE.saturating_sub(waited))
         };
         let need = |one: &Caller| Need {
             bound_ms: 1_200,
-            objective: route.objective.saturating_sub(now.saturating_sub(one.came)),
+            objective: route
+                .objective
+                .saturating_sub(now.saturating_sub(one.arrived)),
             draw: one.draw,
             ..engines::long(one.prompt)
         };
         let mut goes: Vec<(&Caller, Place)> = Vec::new();
-        while let Some(one) = coming.next_if(|one| one.came <= now) {
+        while let Some(one) = arriving.next_if(|one| one.arrived <= now) {
             let servers = fleet.servers(now);
             match place::without_turn(&engine, &need(one), &servers, !waiting.is_empty()) {
                 Some(place) => goes.push((one, place)),
@@ -197,11 +202,11 @@
             }
         }
         waiting.retain(|one| {
-            let stays = wait(one).may_still_start(&engine, &need(one));
-            outcome.given_up += u32::from(!stays);
+            let stays = budget(one).may_still_start(&engine, &need(one));
+            outcome.abandoned += u32::from(!stays);
             stays
         });
-        let rank = |at: &usize| wait(waiting[*at]).rank(&engine, &need(waiting[*at]));
+        let rank = |at: &usize| budget(waiting[*at]).rank(&engine, &need(waiting[*at]));
         let first = (0..waiting.len())
             .min_by_key(rank)
             .filter(|_| now >= turn_at);
@@ -210,13 +215,13 @@
             let place = place::engine(&engine, &need(waiting[at]), &servers, true);
             if let Some(place) = place.filter(|one| one.delay_ms <= 0.0) {
                 goes.push((waiting.remove(at), place));
-                turn_at = now + NEWS;
+                turn_at = now + TURN_KNOWN_AFTER;
             }
         }
         for (one, place) in goes {
-            outcome.harmed += fleet.harmed(&place);
+            outcome.disturbed += fleet.disturbed(&place);
             let first_at = fleet.start(now, one.prompt, place);
-            let on_time = first_at.saturating_sub(one.came) <= route.objective;
+            let on_time = first_at.saturating_sub(one.arrived) <= route.objective;
             outcome.on_time += u32::from(on_time);
             outcome.late += u32::from(!on_time);
         }
@@ -228,32 +233,33 @@
 fn all(per_s: f64) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..10 {
-        let one = play(&callers(seed, per_s, Duration::from_secs(10)));
-        sum.asked += one.asked;
+        let one = simulate(&callers(seed, per_s, Duration::from_secs(10)));
+        sum.requests += one.requests;
         sum.on_time += one.on_time;
         sum.late += one.late;
-        sum.given_up += one.given_up;
-        sum.harmed += one.harmed;
+        sum.abandoned += one.abandoned;
+        sum.disturbed += one.disturbed;
     }
     sum
 }
 
-/// Nine in ten on time in a burst that asks for two thirds of what the fleet reads. Of 854 callers
-/// 726 were on time while all waited in one line for up to 17 servers each, 820 since they are read
-/// several at once, on as few servers as keep them on time, and beside writers where there is room.
+/// Nine in ten are on time in a burst that asks for two thirds of what the fleet reads. Of 854
+/// callers 726 are on time if all wait in one queue for up to 17 servers each, 820 if several
+/// prompts are read at once, on as few servers as keep them on time, and beside writers that have
+/// the capacity.
 #[test]
 fn long_burst() {
     let burst = all(8.4);
     println!("{burst:?}");
-    assert!(burst.on_time * 10 >= burst.asked * 9, "{burst:?}");
-    assert!(burst.given_up * 20 <= burst.asked, "{burst:?}");
+    assert!(burst.on_time * 10 >= burst.requests * 9, "{burst:?}");
+    assert!(burst.abandoned * 20 <= burst.requests, "{burst:?}");
 }
 
-/// At a usual load nearly all are on time, and nobody's pauses suffer.
+/// At a usual load nearly all are on time, and no gap limits are exceeded.
 #[test]
 fn usual_load() {
     let usual = all(3.0);
     println!("{usual:?}");
-    assert!(usual.on_time * 20 >= usual.asked * 19, "{usual:?}");
-    assert_eq!(usual.harmed, 0, "{usual:?}");
+    assert!(usual.on_time * 20 >= usual.requests * 19, "{usual:?}");
+    assert_eq!(usual.disturbed, 0, "{usual:?}");
 }
--- a/tests/long_burst.rs
+++ b/tests/long_burst.rs
@@ -1,5 +1,5 @@
-//! A burst of long prompts, played against the decisions: in which order they are read, and who is
-//! turned away. One lane reads one prompt after the other.
+//! Simulates a burst of long prompts: in which order they are read, and which are rejected. One
+//! lane reads one prompt after the other.
 
 use std::time::Duration;
 
@@ -16,51 +16,51 @@
 mod engines;
 
 const SERVERS: usize = 14;
-/// Servers of the lane of reading.
-const LANE: usize = 7;
+/// Servers of the reading lane.
+const READING_SERVERS: usize = 7;
 const DEADLINE: Duration = Duration::from_secs(15);
 /// Tokens from which a prompt is among the largest tenth or so.
 const LARGE: u64 = 330_000;
-/// Time after which callers are asked to come back.
-const COME_BACK: Duration = Duration::from_secs(2);
+/// Time after which a rejected caller retries.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 const STEP: Duration = Duration::from_millis(15);
 
 struct Caller {
-    came: Duration,
+    arrived: Duration,
     prompt: u64,
-    /// Those of its first attempt, and of the one when it has come back.
+    /// Random numbers of the first attempt and of the retry.
     draws: [u64; 2],
 }
 
 impl Caller {
     fn need(&self, now: Duration) -> Need {
-        let back = now.saturating_sub(self.came) >= COME_BACK;
+        let is_retry = now.saturating_sub(self.arrived) >= RETRY_AFTER;
         Need {
-            draw: self.draws[usize::from(back)],
+            draw: self.draws[usize::from(is_retry)],
             ..engines::long(self.prompt)
         }
     }
 }
 
-/// What became of callers.
+/// How many requests ended how.
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: usize,
+    requests: usize,
     on_time: usize,
     late: usize,
-    /// With a prompt over [`LARGE`].
+    /// Prompts over [`LARGE`].
     large: usize,
-    /// Of those, answered.
+    /// Those of them that were answered.
     large_served: usize,
-    /// Told to come back, and again when they did.
-    away: usize,
-    /// Waited until their time was over.
-    given_up: usize,
-    /// Time that those waited.
-    vain: Duration,
+    /// Rejected, and again on retry.
+    rejected: usize,
+    /// Abandoned after waiting until their time was over.
+    abandoned: usize,
+    /// Total time that the abandoned ones waited.
+    wasted: Duration,
 }
 
-/// Callers that come at `per_s` for `span`, their prompts around 182,000 tokens, one in ten over
+/// Callers arriving at `per_s` for `span`, with prompts around 182,000 tokens, one in ten over
 /// 350,000.
 fn callers(seed: u64, per_s: f64, span: Duration) -> Vec<Caller> {
     let mut draw = StdRng::seed_from_u64(seed);
@@ -69,7 +69,7 @@
     while at < span.as_secs_f64() {
         let spread: f64 = (0..6).map(|_| draw.random_range(-1.0..1.0)).sum();
         out.push(Caller {
-            came: Duration::from_secs_f64(at),
+            arrived: Duration::from_secs_f64(at),
             prompt: (150_000.0 * (spread * 0.45).exp()) as u64,
             draws: [draw.random(), draw.random()],
         });
@@ -78,52 +78,52 @@
     out
 }
 
-fn play(callers: &[Caller], turns_away: bool) -> Outcome {
+fn simulate(callers: &[Caller], rejects: bool) -> Outcome {
     let (engine, route) = (engines::engine(), route());
-    let mut pressure = Congestion::default();
+    let mut congestion = Congestion::default();
     let mut outcome = Outcome {
-        asked: callers.len(),
+        requests: callers.len(),
         large: callers.iter().filter(|one| one.prompt > LARGE).count(),
         ..Outcome::default()
     };
-    let mut coming = callers.iter().peekable();
+    let mut arriving = callers.iter().peekable();
     let mut waiting: Vec<&Caller> = Vec::new();
-    // Those told to come back, and when; each does so once.
+    // Rejected callers and when they retry; each does so once.
     let mut returning: Vec<(Duration, &Caller)> = Vec::new();
     let (mut now, mut free) = (Duration::ZERO, Duration::ZERO);
-    while coming.peek().is_some() || !waiting.is_empty() || !returning.is_empty() {
-        pressure.observe(now, !waiting.is_empty());
-        while let Some(one) = coming.next_if(|one| one.came <= now) {
+    while arriving.peek().is_some() || !waiting.is_empty() || !returning.is_empty() {
+        congestion.observe(now, !waiting.is_empty());
+        while let Some(one) = arriving.next_if(|one| one.arrived <= now) {
             waiting.push(one);
         }
-        let back: Vec<&Caller> = returning
+        let due: Vec<&Caller> = returning
             .extract_if(.., |(at, _)| *at <= now)
             .map(|(_, one)| one)
             .collect();
-        for one in back {
+        for one in due {
             let need = one.need(now);
-            let away = pressure.rejection(&engine, &need, route.objective, SERVERS);
-            if away.is_some() {
-                outcome.away += 1;
+            let rejection = congestion.rejection(&engine, &need, route.objective, SERVERS);
+            if rejection.is_some() {
+                outcome.rejected += 1;
             } else {
                 waiting.push(one);
             }
         }
         waiting.retain(|one| {
             let need = one.need(now);
-            let away = pressure.rejection(&engine, &need, route.objective, SERVERS);
-            if turns_away && away.is_some() {
-                if now.saturating_sub(one.came) < COME_BACK {
-                    returning.push((now + COME_BACK, *one));
+            let rejection = congestion.rejection(&engine, &need, route.objective, SERVERS);
+            if rejects && rejection.is_some() {
+                if now.saturating_sub(one.arrived) < RETRY_AFTER {
+                    returning.push((now + RETRY_AFTER, *one));
                 } else {
-                    outcome.away += 1;
+                    outcome.rejected += 1;
                 }
                 return false;
             }
             let stays = wait(&route, one, now).may_still_start(&engine, &need);
             if !stays {
-                outcome.given_up += 1;
-                outcome.vain += now.saturating_sub(one.came);
+                outcome.abandoned += 1;
+                outcome.wasted += now.saturating_sub(one.arrived);
             }
             stays
         });
@@ -131,10 +131,10 @@
         let first = (0..waiting.len()).min_by_key(|at| rank(&waiting[*at]));
         if let Some(at) = first.filter(|_| free <= now) {
             let one = waiting.remove(at);
-            let read = engine.read_ms(one.prompt, LANE) + 80.0;
+            let read = engine.read_ms(one.prompt, READING_SERVERS) + 80.0;
             free = now + Duration::from_secs_f64(read / 1e3);
             outcome.large_served += usize::from(one.prompt > LARGE);
-            if free.saturating_sub(one.came) <= route.objective {
+            if free.saturating_sub(one.arrived) <= route.objective {
                 outcome.on_time += 1;
             } else {
                 outcome.late += 1;
@@ -146,7 +146,7 @@
 }
 
 fn wait(route: &Route, caller: &Caller, now: Duration) -> Budget {
-    let waited = now.saturating_sub(caller.came);
+    let waited = now.saturating_sub(caller.arrived);
     Budget::new(route, waited, DEADLINE.saturating_sub(waited))
 }
 
@@ -155,25 +155,25 @@
     engines::route(Kind::Stream, Duration::from_secs(4), pause)
 }
 
-fn all(per_s: f64, turns_away: bool) -> Outcome {
+fn all(per_s: f64, rejects: bool) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..40 {
-        let one = play(&callers(seed, per_s, Duration::from_secs(10)), turns_away);
-        sum.asked += one.asked;
+        let one = simulate(&callers(seed, per_s, Duration::from_secs(10)), rejects);
+        sum.requests += one.requests;
         sum.on_time += one.on_time;
         sum.late += one.late;
         sum.large += one.large;
         sum.large_served += one.large_served;
-        sum.away += one.away;
-        sum.given_up += one.given_up;
-        sum.vain += one.vain;
+        sum.rejected += one.rejected;
+        sum.abandoned += one.abandoned;
+        sum.wasted += one.wasted;
     }
     sum
 }
 
 /// Whether the largest tenth is answered at least half as often as all.
 fn is_fair(one: &Outcome) -> bool {
-    let all = (one.on_time + one.late) as f64 / one.asked as f64;
+    let all = (one.on_time + one.late) as f64 / one.requests as f64;
     one.large_served as f64 / one.large as f64 >= all / 2.0
 }
 
@@ -182,66 +182,67 @@
     let (before, after) = (all(2.1, false), all(2.1, true));
     println!("{before:?}\n{after:?}");
     assert!(after.on_time > before.on_time, "{before:?} {after:?}");
-    assert!(after.vain < before.vain / 2, "{before:?} {after:?}");
+    assert!(after.wasted < before.wasted / 2, "{before:?} {after:?}");
     // A late answer is worth a quarter of one on time.
-    let worth = |one: &Outcome| one.on_time * 4 + one.late;
-    assert!(worth(&after) > worth(&before), "{before:?} {after:?}");
+    let value = |one: &Outcome| one.on_time * 4 + one.late;
+    assert!(value(&after) > value(&before), "{before:?} {after:?}");
     assert!(is_fair(&after), "{after:?}");
 }
 
 #[test]
-fn largest_let_in() {
+fn largest_admitted() {
     let usual = all(0.5, true);
     println!("{usual:?}");
     assert!(
         is_fair(&usual) && usual.large_served * 4 > usual.large * 3,
         "{usual:?}"
     );
-    assert!(usual.on_time * 10 > usual.asked * 9, "{usual:?}");
+    assert!(usual.on_time * 10 > usual.requests * 9, "{usual:?}");
 }
 
-/// What holds a small fleet for long takes little of a large one: there the longest are read beside
-/// others. By their own width 3 to 6 of a hundred long prompts a day were turned away twice.
+/// A prompt that occupies a small fleet for long takes little of a large one, where the longest are
+/// read beside others. If only its own width counted, 3 to 6 of a hundred long prompts a day would
+/// be rejected twice.
 #[test]
-fn fleet_takes_largest() {
+fn large_fleet_rejects_largest() {
     let engine = engines::engine();
-    let mut pressure = Congestion::default();
+    let mut congestion = Congestion::default();
     for at in 0..100 {
-        pressure.observe(Duration::from_millis(at * 100), true);
+        congestion.observe(Duration::from_millis(at * 100), true);
     }
-    let away = |servers: usize| {
+    let is_rejected = |servers: usize| {
         let need = engines::long(640_000);
-        let away = pressure.rejection(&engine, &need, route().objective, servers);
-        away.is_some()
+        let rejection = congestion.rejection(&engine, &need, route().objective, servers);
+        rejection.is_some()
     };
     assert!(
-        away(SERVERS) && away(17) && away(23),
-        "one is read at a time"
+        is_rejected(SERVERS) && is_rejected(17) && is_rejected(23),
+        "one prompt is read at a time"
     );
-    assert!(!away(54));
+    assert!(!is_rejected(54));
 }
 
-/// Alone, the longest is let in, whatever waited some time ago.
+/// With nothing else waiting, the longest prompt is admitted, whatever waited some time ago.
 #[test]
-fn pressure_fades() {
+fn congestion_decays() {
     let engine = engines::engine();
     let huge = Need {
         draw: u64::MAX,
         ..engines::long(500_000)
     };
-    let mut pressure = Congestion::default();
+    let mut congestion = Congestion::default();
     for at in 0..100 {
-        pressure.observe(Duration::from_millis(at * 100), true);
+        congestion.observe(Duration::from_millis(at * 100), true);
     }
-    let away = pressure.rejection(&engine, &huge, route().objective, SERVERS);
-    assert!(away.is_some_and(|one| one.level > 0.9 && one.fleet_ms > 800.0));
+    let rejection = congestion.rejection(&engine, &huge, route().objective, SERVERS);
+    assert!(rejection.is_some_and(|one| one.level > 0.9 && one.fleet_ms > 800.0));
     assert_eq!(
-        pressure.rejection(&engine, &engines::long(182_000), route().objective, SERVERS),
+        congestion.rejection(&engine, &engines::long(182_000), route().objective, SERVERS),
         None
     );
-    pressure.observe(Duration::from_secs(14), false);
+    congestion.observe(Duration::from_secs(14), false);
     assert_eq!(
-        pressure.rejection(&engine, &huge, route().objective, SERVERS),
+        congestion.rejection(&engine, &huge, route().objective, SERVERS),
         None
     );
 }
--- a/tests/long_strays.rs
+++ b/tests/long_strays.rs
@@ -1,7 +1,7 @@
-//! Long prompts beside the last of a burst of short ones: whose pauses they stretch.
+//! Whose gaps a long prompt stretches at the end of a burst of short ones.
 //!
-//! The load: a burst of short work ends, its last answers are still written on half of the servers,
-//! and long prompts come.
+//! A burst of short requests ends, its last answers are still being written on half of the servers,
+//! and long prompts arrive.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 #[path = "common/engines.rs"]
 mod engines;
 
-/// An engine at which pairs of tokens are dear, with long passes.
+/// An engine with a high attention cost and long passes.
 fn engine() -> Engine {
     Engine {
         slots: 12,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Servers of which each `step`th still writes three answers with tight pauses.
+/// Servers of which every `step`th still writes three answers with tight gap limits.
 fn servers(count: usize, step: usize) -> Vec<Server> {
     let load = |at: usize| match at % step {
         0 => Load {
@@ -58,10 +58,10 @@
     all.filter(|at| servers[**at].load.tight > 0).count()
 }
 
-/// Of 20 prompts each stretched pauses of three or more servers by a second, while as many others
-/// stood idle; now none does.
+/// Otherwise each of 20 prompts stretches the gaps of three or more servers by a second while as many
+/// servers are idle.
 #[test]
-fn spares_strays() {
+fn idle_servers_left_out() {
     let servers = servers(54, 2);
     for draw in 0..20 {
         let need = Need {
@@ -74,9 +74,9 @@
     }
 }
 
-/// Where there are no others, it is read beside a few rather than late.
+/// If no other servers are left, the prompt is read beside a few writers rather than late.
 #[test]
-fn late_takes_strays() {
+fn late_reads_beside_writers() {
     let servers = servers(14, 1);
     let place = place::engine(&engine(), &engines::long(220_000), &servers, true);
     let place = place.expect("there is room");
@@ -84,9 +84,9 @@
     assert!(place.first_ms < 4_000.0, "{place:?}");
 }
 
-/// One that is late already is not held back for anybody's pauses.
+/// A prompt that is late already is not held back for the sake of anyone's gaps.
 #[test]
-fn overdue_takes_strays() {
+fn overdue_reads_beside_writers() {
     let servers = servers(14, 1);
     let need = Need {
         objective: Duration::ZERO,
--- a/tests/only_server.rs
+++ b/tests/only_server.rs
@@ -1,4 +1,4 @@
-//! One backend server cannot be shared out into lanes: nothing waits for another there.
+//! A single backend server cannot be split into lanes, so no request may wait for another lane.
 
 use std::time::Duration;
 
--- a/tests/server_duties.rs
+++ b/tests/server_duties.rs
@@ -1,4 +1,4 @@
-//! Which entry asks a backend server how it is.
+//! Which entry probes a backend server.
 
 use wigeonbarrow::direct::load;
 use wigeonbarrow::direct::rendezvous;
@@ -16,7 +16,7 @@
     entries.iter().copied().filter(|one| *one != me).collect()
 }
 
-/// Entries to which a server falls, by what each of them reckons.
+/// Entries that consider themselves responsible for a server.
 fn owners(server: u64, entries: &[u64]) -> Vec<u64> {
     let all = entries.iter().copied();
     all.filter(|me| rendezvous::is_owner(server, *me, &others(entries, *me)))
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn one_each() {
+fn one_owner_each() {
     let entries = keys("entry", ENTRIES);
     for server in keys("server", 300) {
         assert_eq!(owners(server, &entries).len(), 1);
@@ -33,7 +33,7 @@
     assert_eq!(owners(1, alone), alone);
 }
 
-/// The mean is 39 servers an entry; twice that would make one entry's questions a burden.
+/// The mean is 39 servers an entry; with twice as many the probes would be a burden for one entry.
 #[test]
 fn even_shares() {
     let entries = keys("entry", ENTRIES);
@@ -44,12 +44,12 @@
             .iter()
             .filter(|one| rendezvous::is_owner(**one, *me, &others));
         let own = own.count();
-        assert!((10..=78).contains(&own), "{own} servers fall to one entry");
+        assert!((10..=78).contains(&own), "{own} servers for one entry");
     }
 }
 
 #[test]
-fn few_move() {
+fn owners_stay() {
     let entries = keys("entry", 20);
     let fewer = &entries[1..];
     for server in keys("server", 300) {
--- a/tests/stale_views.rs
+++ b/tests/stale_views.rs
@@ -1,5 +1,5 @@
-//! Short work on a large fleet, placed by entries each of which knows of the others' what they told
-//! some time ago.
+//! Short requests on a large fleet, placed by entries that know the load of other entries with a
+//! delay.
 
 use std::time::Duration;
 
@@ -17,16 +17,17 @@
 
 const SERVERS: usize = 112;
 const SLOTS: u32 = 10;
-/// Age of what entries know of each other: 43 ms between two words of one of 70, and the way.
+/// Age of what entries know of each other: 43 ms between two reports of one of 70 entries, and the
+/// transmission.
 const AGE: Duration = Duration::from_millis(50);
 const OBJECTIVE: Duration = Duration::from_millis(400);
-/// Events of an answer: one a pass.
+/// Events of an answer, one per pass.
 const EVENTS: u32 = 26;
 
 #[derive(Clone, Copy)]
 struct Run {
     server: usize,
-    came: Duration,
+    arrived: Duration,
     read_ms: f64,
     first_at: Duration,
     ends: Duration,
@@ -42,14 +43,17 @@
         failing: 0.0,
     };
     let mut out: Vec<Server> = (0..SERVERS).map(server).collect();
-    for run in runs.iter().filter(|one| one.came <= now && now < one.ends) {
+    for run in runs
+        .iter()
+        .filter(|one| one.arrived <= now && now < one.ends)
+    {
         let load = &mut out[run.server].load;
         load.tight += 1;
         load.bound_ms = 300;
         load.memory += 6_000;
         if now < run.first_at {
             load.readers += 1;
-            let left = run.read_ms - now.saturating_sub(run.came).as_secs_f64() * 1e3;
+            let left = run.read_ms - now.saturating_sub(run.arrived).as_secs_f64() * 1e3;
             load.backlog_ms += left.max(0.0) as u32;
         } else {
             load.writers += 1;
@@ -59,9 +63,9 @@
     out
 }
 
-/// How a server takes a prompt that comes: what waits there to be read goes first, and so does
-/// whoever holds a slot.
-fn taken(engine: &Engine, now: Duration, prompt: u64, at: usize, runs: &[Run]) -> Run {
+/// When a server serves a prompt that arrives now: after all reads that wait there, and once a slot
+/// is free.
+fn serve(engine: &Engine, now: Duration, prompt: u64, at: usize, runs: &[Run]) -> Run {
     let read_ms = engine.read_ms(prompt, 1);
     let there: Vec<&Run> = runs
         .iter()
@@ -81,14 +85,14 @@
     let first_at = slot_at + ms(ahead + read_ms + pass_ms * 1.5);
     Run {
         server: at,
-        came: now,
+        arrived: now,
         read_ms,
         first_at,
         ends: first_at + ms(pass_ms * f64::from(EVENTS)),
     }
 }
 
-/// Requests in all, and those whose first event came in time.
+/// Requests in total, and those whose first event arrived in time.
 fn burst(seed: u64, per_s: f64, span: Duration) -> (u32, u32) {
     let engine = Engine {
         slots: SLOTS,
@@ -97,7 +101,7 @@
     };
     let mut draw = StdRng::seed_from_u64(seed);
     let mut runs: Vec<Run> = Vec::new();
-    let (mut now, mut asked, mut on_time) = (Duration::from_secs(1), 0, 0);
+    let (mut now, mut requests, mut on_time) = (Duration::from_secs(1), 0, 0);
     let end = now + span;
     while now < end {
         let view = servers(now.saturating_sub(AGE), &runs);
@@ -109,27 +113,27 @@
             ..engines::short(prompt)
         };
         let place = place::engine(&engine, &need, &view, false).expect("there is room");
-        let run = taken(&engine, now, prompt, place.writer, &runs);
-        asked += 1;
+        let run = serve(&engine, now, prompt, place.writer, &runs);
+        requests += 1;
         on_time += u32::from(run.first_at.saturating_sub(now) <= OBJECTIVE);
         runs.push(run);
         runs.retain(|one| now < one.ends + AGE);
         now += Duration::from_secs_f64(-draw.random_range(f64::EPSILON..1.0_f64).ln() / per_s);
     }
-    (asked, on_time)
+    (requests, on_time)
 }
 
-/// A burst of 2.5 times the usual rate, which takes two thirds of the slots. Of 2,272 requests (seed
-/// 0) 1,591 were on time while entries weighed all servers and so chose the same ones, 2,187 since
-/// each weighs four of its own.
+/// A burst of 2.5 times the usual rate, which takes two thirds of the slots. If entries compare all
+/// servers, they choose the same ones, and of 2,272 requests (seed 0) 1,591 are on time; 2,187 if
+/// each compares four of its own.
 #[test]
 fn short_burst() {
     for seed in 0..3 {
-        let (asked, on_time) = burst(seed, 380.0, Duration::from_secs(6));
-        println!("seed {seed}: {on_time} of {asked} on time");
+        let (requests, on_time) = burst(seed, 380.0, Duration::from_secs(6));
+        println!("seed {seed}: {on_time} of {requests} on time");
         assert!(
-            on_time * 100 >= asked * 95,
-            "seed {seed}: {on_time} of {asked}"
+            on_time * 100 >= requests * 95,
+            "seed {seed}: {on_time} of {requests}"
         );
     }
 }
