--- a/tests/answer_forecast.rs
+++ b/tests/answer_forecast.rs
@@ -31,7 +31,7 @@
         steady > SECOND * 29 / 10 && steady < SECOND * 33 / 10,
         "{steady:?}"
     );
-    let mixed: Vec<f64> = (0..100).map(|one| f64::from(one % 5) + 1.0).collect();
+    let mixed: Vec<f64> = (0..100).map(|at| f64::from(at % 5) + 1.0).collect();
     assert!(
         learned(&mixed) > SECOND * 35 / 10,
         "it must cover most answers, not half of them"
--- a/tests/fleet_subsets.rs
+++ b/tests/fleet_subsets.rs
@@ -63,10 +63,10 @@
     assert_eq!(subsets.len(), 16);
     let fair = mean / 2..mean * 2;
     assert!(
-        subsets.values().all(|one| fair.contains(one)),
+        subsets.values().all(|count| fair.contains(count)),
         "{subsets:?}"
     );
-    assert!(drawn.iter().all(|one| fair.contains(one)));
+    assert!(drawn.iter().all(|count| fair.contains(count)));
 }
 
 /// A fleet that loses most of its servers is one subset again.
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -77,7 +77,7 @@
 
     fn servers(&self, now: Duration) -> Vec<Server> {
         let mut out: Vec<Server> = (0..SERVERS).map(|at| self.server(now, at)).collect();
-        for run in self.runs.iter().filter(|one| now < one.read_at + WRITES) {
+        for run in self.runs.iter().filter(|run| now < run.read_at + WRITES) {
             let reads = now < run.read_at;
             let writer = &mut out[run.place.writer].load;
             writer.memory += run.prompt;
@@ -181,28 +181,28 @@
     let mut waiting: Vec<&Caller> = Vec::new();
     let (mut now, mut turn_at) = (Duration::ZERO, Duration::ZERO);
     while arriving.peek().is_some() || !waiting.is_empty() {
-        let budget = |one: &Caller| {
-            let waited = now.saturating_sub(one.arrived);
+        let budget = |caller: &Caller| {
+            let waited = now.saturating_sub(caller.arrived);
             Budget::new(&route, waited, DEADLINE.saturating_sub(waited))
         };
-        let need = |one: &Caller| Need {
+        let need = |caller: &Caller| Need {
             bound_ms: 1_200,
             objective: route
                 .objective
-                .saturating_sub(now.saturating_sub(one.arrived)),
-            draw: one.draw,
-            ..engines::long(one.prompt)
+                .saturating_sub(now.saturating_sub(caller.arrived)),
+            draw: caller.draw,
+            ..engines::long(caller.prompt)
         };
         let mut goes: Vec<(&Caller, Place)> = Vec::new();
-        while let Some(one) = arriving.next_if(|one| one.arrived <= now) {
+        while let Some(caller) = arriving.next_if(|caller| caller.arrived <= now) {
             let servers = fleet.servers(now);
-            match place::without_turn(&engine, &need(one), &servers, !waiting.is_empty()) {
-                Some(place) => goes.push((one, place)),
-                None => waiting.push(one),
+            match place::without_turn(&engine, &need(caller), &servers, !waiting.is_empty()) {
+                Some(place) => goes.push((caller, place)),
+                None => waiting.push(caller),
             }
         }
-        waiting.retain(|one| {
-            let stays = budget(one).may_still_start(&engine, &need(one));
+        waiting.retain(|caller| {
+            let stays = budget(caller).may_still_start(&engine, &need(caller));
             outcome.abandoned += u32::from(!stays);
             stays
         });
@@ -213,15 +213,15 @@
         if let Some(at) = first {
             let servers = fleet.servers(now);
             let place = place::engine(&engine, &need(waiting[at]), &servers, true);
-            if let Some(place) = place.filter(|one| one.delay_ms <= 0.0) {
+            if let Some(place) = place.filter(|place| place.delay_ms <= 0.0) {
                 goes.push((waiting.remove(at), place));
                 turn_at = now + TURN_KNOWN_AFTER;
             }
         }
-        for (one, place) in goes {
+        for (caller, place) in goes {
             outcome.disturbed += fleet.disturbed(&place);
-            let first_at = fleet.start(now, one.prompt, place);
-            let on_time = first_at.saturating_sub(one.arrived) <= route.objective;
+            let first_at = fleet.start(now, caller.prompt, place);
+            let on_time = first_at.saturating_sub(caller.arrived) <= route.objective;
             outcome.on_time += u32::from(on_time);
             outcome.late += u32::from(!on_time);
         }
--- a/tests/long_burst.rs
+++ b/tests/long_burst.rs
@@ -83,7 +83,10 @@
     let mut congestion = Congestion::default();
     let mut outcome = Outcome {
         requests: callers.len(),
-        large: callers.iter().filter(|one| one.prompt > LARGE).count(),
+        large: callers
+            .iter()
+            .filter(|caller| caller.prompt > LARGE)
+            .count(),
         ..Outcome::default()
     };
     let mut arriving = callers.iter().peekable();
@@ -93,48 +96,50 @@
     let (mut now, mut free) = (Duration::ZERO, Duration::ZERO);
     while arriving.peek().is_some() || !waiting.is_empty() || !returning.is_empty() {
         congestion.observe(now, !waiting.is_empty());
-        while let Some(one) = arriving.next_if(|one| one.arrived <= now) {
-            waiting.push(one);
+        while let Some(caller) = arriving.next_if(|caller| caller.arrived <= now) {
+            waiting.push(caller);
         }
         let due: Vec<&Caller> = returning
             .extract_if(.., |(at, _)| *at <= now)
-            .map(|(_, one)| one)
+            .map(|(_, caller)| caller)
             .collect();
-        for one in due {
-            let need = one.need(now);
+        for caller in due {
+            let need = caller.need(now);
             let rejection = congestion.rejection(&engine, &need, route.objective, SERVERS);
             if rejection.is_some() {
                 outcome.rejected += 1;
             } else {
-                waiting.push(one);
+                waiting.push(caller);
             }
         }
-        waiting.retain(|one| {
-            let need = one.need(now);
+        waiting.retain(|caller| {
+            let need = caller.need(now);
             let rejection = congestion.rejection(&engine, &need, route.objective, SERVERS);
             if rejects && rejection.is_some() {
-                if now.saturating_sub(one.arrived) < RETRY_AFTER {
-                    returning.push((now + RETRY_AFTER, *one));
+                if now.saturating_sub(caller.arrived) < RETRY_AFTER {
+                    returning.push((now + RETRY_AFTER, *caller));
                 } else {
                     outcome.rejected += 1;
                 }
                 return false;
             }
-            let stays = wait(&route, one, now).may_still_start(&engine, &need);
+            let stays = wait(&route, caller, now).may_still_start(&engine, &need);
             if !stays {
                 outcome.abandoned += 1;
-                outcome.wasted += now.saturating_sub(one.arrived);
+                outcome.wasted += now.saturating_sub(caller.arrived);
             }
             stays
         });
-        let rank = |one: &&Caller| wait(&route, one, now).rank(&engine, &engines::long(one.prompt));
+        let rank = |caller: &&Caller| {
+            wait(&route, caller, now).rank(&engine, &engines::long(caller.prompt))
+        };
         let first = (0..waiting.len()).min_by_key(|at| rank(&waiting[*at]));
         if let Some(at) = first.filter(|_| free <= now) {
-            let one = waiting.remove(at);
-            let read = engine.read_ms(one.prompt, READING_SERVERS) + 80.0;
+            let caller = waiting.remove(at);
+            let read = engine.read_ms(caller.prompt, READING_SERVERS) + 80.0;
             free = now + Duration::from_secs_f64(read / 1e3);
-            outcome.large_served += usize::from(one.prompt > LARGE);
-            if free.saturating_sub(one.arrived) <= route.objective {
+            outcome.large_served += usize::from(caller.prompt > LARGE);
+            if free.saturating_sub(caller.arrived) <= route.objective {
                 outcome.on_time += 1;
             } else {
                 outcome.late += 1;
@@ -184,7 +189,7 @@
     assert!(after.on_time > before.on_time, "{before:?} {after:?}");
     assert!(after.wasted < before.wasted / 2, "{before:?} {after:?}");
     // A late answer is worth a quarter of one on time.
-    let value = |one: &Outcome| one.on_time * 4 + one.late;
+    let value = |outcome: &Outcome| outcome.on_time * 4 + outcome.late;
     assert!(value(&after) > value(&before), "{before:?} {after:?}");
     assert!(is_fair(&after), "{after:?}");
 }
@@ -235,7 +240,7 @@
         congestion.observe(Duration::from_millis(at * 100), true);
     }
     let rejection = congestion.rejection(&engine, &huge, route().objective, SERVERS);
-    assert!(rejection.is_some_and(|one| one.level > 0.9 && one.fleet_ms > 800.0));
+    assert!(rejection.is_some_and(|why| why.level > 0.9 && why.fleet_ms > 800.0));
     assert_eq!(
         congestion.rejection(&engine, &engines::long(182_000), route().objective, SERVERS),
         None
--- a/tests/request_patience.rs
+++ b/tests/request_patience.rs
@@ -192,5 +192,5 @@
     let need = long(182_000);
     let ranks = [None, Some(ms(7_000)), Some(ms(100))];
     let ranks = ranks.map(|exit| budget(5_000).with_exit(exit).rank(&engine(), &need));
-    assert!(ranks.iter().all(|one| *one == ranks[0]), "{ranks:?}");
+    assert!(ranks.iter().all(|rank| *rank == ranks[0]), "{ranks:?}");
 }
--- a/tests/server_duties.rs
+++ b/tests/server_duties.rs
@@ -13,7 +13,11 @@
 }
 
 fn others(entries: &[u64], me: u64) -> Vec<u64> {
-    entries.iter().copied().filter(|one| *one != me).collect()
+    entries
+        .iter()
+        .copied()
+        .filter(|entry| *entry != me)
+        .collect()
 }
 
 /// Entries that consider themselves responsible for a server.
@@ -42,7 +46,7 @@
         let others = others(&entries, *me);
         let own = servers
             .iter()
-            .filter(|one| rendezvous::is_owner(**one, *me, &others));
+            .filter(|server| rendezvous::is_owner(**server, *me, &others));
         let own = own.count();
         assert!((10..=78).contains(&own), "{own} servers for one entry");
     }
--- a/tests/stale_views.rs
+++ b/tests/stale_views.rs
@@ -45,7 +45,7 @@
     let mut out: Vec<Server> = (0..SERVERS).map(server).collect();
     for run in runs
         .iter()
-        .filter(|one| one.arrived <= now && now < one.ends)
+        .filter(|run| run.arrived <= now && now < run.ends)
     {
         let load = &mut out[run.server].load;
         load.tight += 1;
@@ -69,15 +69,15 @@
     let read_ms = engine.read_ms(prompt, 1);
     let there: Vec<&Run> = runs
         .iter()
-        .filter(|one| one.server == at && now < one.ends)
+        .filter(|run| run.server == at && now < run.ends)
         .collect();
     let ahead: f64 = there
         .iter()
-        .filter(|one| now < one.first_at)
-        .map(|one| one.read_ms)
+        .filter(|run| now < run.first_at)
+        .map(|run| run.read_ms)
         .sum();
     let pass_ms = engine.pass_ms(there.len() as u32, 50_000);
-    let mut ends: Vec<Duration> = there.iter().map(|one| one.ends).collect();
+    let mut ends: Vec<Duration> = there.iter().map(|run| run.ends).collect();
     ends.sort_unstable();
     let over = (there.len() + 1).saturating_sub(SLOTS as usize);
     let slot_at = if over > 0 { ends[over - 1] } else { now };
@@ -117,7 +117,7 @@
         requests += 1;
         on_time += u32::from(run.first_at.saturating_sub(now) <= OBJECTIVE);
         runs.push(run);
-        runs.retain(|one| now < one.ends + AGE);
+        runs.retain(|run| now < run.ends + AGE);
         now += Duration::from_secs_f64(-draw.random_range(f64::EPSILON..1.0_f64).ln() / per_s);
     }
     (requests, on_time)
