--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -1,5 +1,5 @@
-//! An entry that drives backend servers itself: callers' requests in, one client of backend
-//! servers, and the datagrams between processes.
+//! An entry that sends requests to backend servers directly, without sidecars: the listener for
+//! callers, the client of backend servers, and the gossip datagrams between processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -55,64 +55,64 @@
 pub mod stream;
 mod turn;
 
-/// Time after a start from which the others are known that share a budget.
+/// Time after a start by which the other entries are known. The retry budget is shared with them.
 const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Entries that a process reckons with until then.
+/// Entries that a restarted process assumes until then.
 const ASSUMED_ENTRIES: usize = 40;
 
 /// Settings of an entry without sidecars.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Bound on requests that are sent again.
+    /// Limit on retries.
     pub retries: budget::Limit,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time, not only this process.
     pub first_start: bool,
-    /// Whether this process has a data folder and so may vote.
+    /// Whether this process has a data folder and so may vote in the control quorum.
     pub votes: bool,
-    /// Whether it takes callers' requests.
+    /// Whether it accepts callers' requests.
     pub serves: bool,
-    /// Time for which memory at a backend server is set aside without renewal.
+    /// Time after which a backend server drops a memory reservation that is not renewed.
     pub reservation_ttl: Duration,
 }
 
-/// What requests share.
+/// State shared by all requests.
 pub struct State {
-    /// Backend servers.
+    /// Known backend servers.
     pub register: register::Register,
-    /// How they did lately.
+    /// Recent failures and slowness of each backend server.
     pub healths: fault::Healths,
-    /// Requests under which servers died.
+    /// Requests during which backend servers died.
     pub suspects: fault::Suspects,
-    /// Requests sent again.
+    /// Budget for retries.
     pub budget: budget::Budget,
-    /// What runs where.
+    /// Load of each backend server, from all entries.
     pub board: board::Board,
-    /// How much long prompts waited lately.
+    /// Share of recent time in which long prompts waited.
     pub pressure: pressure::Pressure,
-    /// Limits that backend servers name.
+    /// Request limits that backend servers announce.
     pub quotas: quota::Quotas,
-    /// What was sent to backend servers lately.
+    /// Counts of what was recently sent to backend servers.
     pub tally: tally::Tally,
-    /// How long answers took to be written.
+    /// How long responses took to generate after their first event.
     pub writing: writing::Writing,
 }
 
 impl State {
-    /// Takes note of whether long prompts wait.
+    /// Samples whether a long prompt waits now.
     pub fn observe_congestion(&mut self, now: Duration) {
         let waits = self.board.any_waits(now);
         self.pressure.observe(now, waits);
     }
 }
 
-/// The entry.
+/// An entry without sidecars.
 pub struct Direct {
     node: Arc<node::Node>,
     settings: Settings,
     dialect: Box<dyn dialect::Dialect>,
     catalog: ArcSwapOption<catalog::Catalog>,
-    /// Newest version as a quorum told it once since the start. `None`: none has told yet.
+    /// Newest version as a quorum confirmed it once since the start. `None`: not confirmed yet.
     confirmed: watch::Sender<Option<u64>>,
     state: Mutex<State>,
     pool: pool::Pool,
@@ -121,23 +121,23 @@
     counts: count::Counts,
     /// Requests in progress.
     progress: progress::Table,
-    /// Something of interest to other entries changed in what runs here.
+    /// Notified when load that other entries should know of changed here.
     loads_changed: Notify,
-    /// Records to pass on at once.
-    news: Mutex<Vec<gossip::News>>,
-    news_came: Notify,
-    /// What to tell single processes, once.
-    letters: Mutex<Vec<(SocketAddr, gossip::News)>>,
+    /// Messages to send to all other processes at once, with repeats.
+    broadcasts: Mutex<Vec<gossip::News>>,
+    message_queued: Notify,
+    /// Messages to send once, each to one process.
+    unicasts: Mutex<Vec<(SocketAddr, gossip::News)>>,
     asked: Mutex<permit::Asked>,
-    /// A configuration came into force, or a backend server became known.
+    /// Notified when a configuration came into force or a backend server became known.
     availability_changed: Notify,
 }
 
-/// Reads a published document: the catalog, or all that is wrong with it.
+/// Parses a published document into a catalog, or returns all its findings.
 pub type Read = fn(&[u8]) -> Result<catalog::Catalog, Vec<catalog::Finding>>;
 
 impl Direct {
-    /// An entry of `node` that speaks `dialect`.
+    /// Creates an entry of `node` that uses the header and body formats of `dialect`.
     pub fn new(
         node: &Arc<node::Node>,
         settings: Settings,
@@ -166,21 +166,20 @@
             counts: count::Counts::new(node.metrics()),
             progress: progress::Table::default(),
             loads_changed: Notify::new(),
-            news: Mutex::default(),
-            news_came: Notify::new(),
-            letters: Mutex::default(),
+            broadcasts: Mutex::default(),
+            message_queued: Notify::new(),
+            unicasts: Mutex::default(),
             asked: Mutex::default(),
             availability_changed: Notify::new(),
             settings,
         })
     }
 
-    /// The process.
+    /// The process that this entry runs in.
     pub fn node(&self) -> &Arc<node::Node> {
         &self.node
     }
 
-    /// Its settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
@@ -190,13 +189,13 @@
         self.catalog.load_full()
     }
 
-    /// What requests share.
+    /// Locks the state shared by all requests.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("entry state lock")
     }
 
-    /// The configuration in force here, or the first one if it comes within `limit`.
-    pub(crate) async fn await_catalog(&self, limit: Duration) -> Option<Arc<catalog::Catalog>> {
+    /// The configuration in force here. If there is none yet, waits for it up to `timeout`.
+    pub(crate) async fn await_catalog(&self, timeout: Duration) -> Option<Arc<catalog::Catalog>> {
         let waiting = async {
             loop {
                 let availability_changed = self.availability_changed.notified();
@@ -206,49 +205,49 @@
                 availability_changed.await;
             }
         };
-        self.unless_ending(limit, waiting).await
+        self.unless_stopping(timeout, waiting).await
     }
 
-    /// What `waiting` gives within `limit`, unless this process is told to stop meanwhile.
-    async fn unless_ending<T>(
+    /// Awaits `waiting` up to `timeout`. `None`: it timed out, or this process is told to stop.
+    async fn unless_stopping<T>(
         &self,
-        limit: Duration,
+        timeout: Duration,
         waiting: impl Future<Output = T>,
     ) -> Option<T> {
         tokio::select! {
             biased;
-            got = time::timeout(limit, waiting) => got.ok(),
+            result = time::timeout(timeout, waiting) => result.ok(),
             () = self.node.lifetime().stopping() => None,
         }
     }
 
-    /// Whether `catalog` is the newest, or was so at some time since the start. What a process
-    /// reads from its own disk, or gets from whoever answers first, may be older than what was
-    /// acknowledged while it was away.
+    /// Whether `catalog` is the newest, or was at some time since the start. A catalog read from
+    /// the local disk, or fetched from the first process that answered, may be older than what was
+    /// acknowledged while this process was down.
     pub(crate) fn is_confirmed(&self, catalog: &catalog::Catalog) -> bool {
-        let told = *self.confirmed.borrow();
-        told.is_some_and(|version| catalog.version() >= version)
+        let confirmed = *self.confirmed.borrow();
+        confirmed.is_some_and(|version| catalog.version() >= version)
     }
 
-    /// The configuration in force here once it is confirmed, `limit` at the most.
-    pub(crate) async fn await_confirmed(&self, limit: Duration) -> Option<Arc<catalog::Catalog>> {
-        let mut told = self.confirmed.subscribe();
+    /// Waits up to `timeout` until the configuration in force here is confirmed as the newest.
+    pub(crate) async fn await_confirmed(&self, timeout: Duration) -> Option<Arc<catalog::Catalog>> {
+        let mut confirmed = self.confirmed.subscribe();
         let waiting = async {
-            // The sender lives as long as this entry.
-            let _ = told.wait_for(Option::is_some).await;
+            // Can't fail: the sender lives as long as this entry.
+            let _ = confirmed.wait_for(Option::is_some).await;
             loop {
                 let availability_changed = self.availability_changed.notified();
-                if let Some(catalog) = self.catalog().filter(|one| self.is_confirmed(one)) {
+                if let Some(catalog) = self.catalog().filter(|catalog| self.is_confirmed(catalog)) {
                     return catalog;
                 }
                 availability_changed.await;
             }
         };
-        self.unless_ending(limit, waiting).await
+        self.unless_stopping(timeout, waiting).await
     }
 
-    /// Waits until a backend server of `service` is known, `limit` at the most.
-    pub(crate) async fn await_server(&self, service: &str, limit: Duration) {
+    /// Waits up to `timeout` until a backend server of `service` is known.
+    pub(crate) async fn await_server(&self, service: &str, timeout: Duration) {
         let waiting = async {
             loop {
                 let availability_changed = self.availability_changed.notified();
@@ -259,12 +258,12 @@
                 availability_changed.await;
             }
         };
-        // Whoever waits finds out by itself what is known then.
-        let _ = self.unless_ending(limit, waiting).await;
+        // The caller looks up the register again, whatever the outcome.
+        let _ = self.unless_stopping(timeout, waiting).await;
     }
 
-    /// Whether callers' requests can be served: the configuration is known, and servers of at
-    /// least one service.
+    /// Whether callers' requests can be served: the configuration is known, and at least one
+    /// service has a ready backend server.
     pub fn ready(&self) -> bool {
         let Some(catalog) = self.catalog() else {
             return false;
@@ -272,10 +271,10 @@
         let now = self.node.now();
         let state = self.state();
         let mut services = catalog.services().iter();
-        services.any(|one| state.register.ready(now, &one.name).next().is_some())
+        services.any(|service| state.register.ready(now, &service.name).next().is_some())
     }
 
-    /// Puts each newer committed document in force. Never ends.
+    /// Puts each newer committed document in force. Does not return while the process runs.
     pub async fn follow_documents(self: Arc<Self>, read: Read) {
         let mut documents = self.node.documents().watch();
         loop {
@@ -314,37 +313,43 @@
         }
     }
 
-    /// Tells all other processes at once.
+    /// Sends a message to all other processes at once, with repeats against loss.
     pub(crate) fn broadcast(&self, news: gossip::News) {
-        self.news.lock().expect("news lock").push(news);
-        self.news_came.notify_one();
+        self.broadcasts.lock().expect("broadcasts lock").push(news);
+        self.message_queued.notify_one();
     }
 
-    /// Tells one other process at once, and once.
+    /// Sends a message to one other process at once, without repeats.
     pub(crate) fn send_to(&self, to: SocketAddr, news: gossip::News) {
-        self.letters.lock().expect("letters lock").push((to, news));
-        self.news_came.notify_one();
+        self.unicasts
+            .lock()
+            .expect("unicasts lock")
+            .push((to, news));
+        self.message_queued.notify_one();
     }
 
-    /// Processes that take callers' requests, this one among them.
+    /// Number of processes that accept callers' requests, including this one.
     pub(crate) fn entry_count(&self) -> usize {
-        let known = 1 + self.roster().all().filter(|one| one.serves).count();
-        // A process that has just started again knows few of the others, or none.
+        let known = 1 + self.roster().all().filter(|peer| peer.serves).count();
+        // A process that has just restarted knows few other entries, or none.
         if !self.settings.first_start && self.node.now() < DISCOVERY_TIME {
             return known.max(ASSUMED_ENTRIES);
         }
         known
     }
 
-    /// Idle connections kept to each server of a service.
+    /// Most idle connections that this entry keeps to each backend server of `service`.
     pub(crate) fn max_idle(&self, service: &str) -> usize {
         let catalog = self.catalog();
-        let service = catalog.as_ref().and_then(|one| one.service(service));
-        let accepted = service.map_or(0, |one| one.connections);
+        let service = catalog
+            .as_ref()
+            .and_then(|catalog| catalog.service(service));
+        let accepted = service.map_or(0, |service| service.connections);
         pool::max_idle(accepted, self.entry_count())
     }
 
-    /// Closes idle connections and forgets what has long gone. To be called each second.
+    /// Closes expired idle connections and drops state of servers that are long gone. To be called
+    /// each second.
     pub fn sweep(&self) {
         self.pool.prune();
         self.tell_sent();
--- a/src/edge/direct/count.rs
+++ b/src/edge/direct/count.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of requests.
+//! Metrics of requests: counters and latency histograms.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::direct::tally;
 use crate::edge::metric;
 
-/// Upper ends of latency buckets in seconds: from a network round trip to the longest deadline.
-const SECONDS: [f64; 12] = [
+/// Upper bounds of latency buckets in seconds: from a network round trip to the longest deadline.
+const LATENCY_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0,
 ];
 
-/// Upper ends of the ratio of a first event seen to the one predicted.
-const RATIOS: [f64; 9] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0, 4.0, 8.0];
+/// Upper bounds of buckets for the ratio of the actual to the predicted time to the first event.
+const RATIO_BUCKETS: [f64; 9] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0, 4.0, 8.0];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Ended {
@@ -37,8 +37,8 @@
 
 type Histograms = family::Family<Of, histogram::Histogram, fn() -> histogram::Histogram>;
 
-/// The metrics of an entry without sidecars. Labels are services, of which a configuration has
-/// few; never callers, keys or paths.
+/// The metrics of an entry without sidecars. To bound their number, labels are services, of which
+/// a configuration has few, and never callers, keys or paths.
 #[derive(Clone)]
 pub struct Counts {
     ended: family::Family<Ended, counter::Counter>,
@@ -53,21 +53,21 @@
     grants: family::Family<For, counter::Counter>,
 }
 
-fn seconds() -> histogram::Histogram {
-    histogram::Histogram::new(SECONDS)
+fn latencies() -> histogram::Histogram {
+    histogram::Histogram::new(LATENCY_BUCKETS)
 }
 
 fn ratios() -> histogram::Histogram {
-    histogram::Histogram::new(RATIOS)
+    histogram::Histogram::new(RATIO_BUCKETS)
 }
 
 impl Counts {
-    /// Registers them.
+    /// Creates the metrics and registers them.
     pub fn new(metrics: &metric::Registry) -> Self {
         let counts = Self {
             ended: family::Family::default(),
-            first: family::Family::new_with_constructor(seconds as fn() -> _),
-            whole: family::Family::new_with_constructor(seconds as fn() -> _),
+            first: family::Family::new_with_constructor(latencies as fn() -> _),
+            whole: family::Family::new_with_constructor(latencies as fn() -> _),
             predicted: family::Family::new_with_constructor(ratios as fn() -> _),
             attempts: family::Family::default(),
             running: gauge::Gauge::default(),
@@ -109,43 +109,43 @@
         counts
     }
 
-    /// A heartbeat was refused.
+    /// A heartbeat was rejected.
     pub fn heartbeat_rejected(&self) {
         self.refused_heartbeats.inc();
     }
 
-    /// Something goes to a backend server.
+    /// Something was sent to a backend server.
     pub fn sent(&self, kind: tally::Kind) {
         let kind = match kind {
             tally::Kind::Request => "request",
             tally::Kind::Probe => "probe",
             tally::Kind::Order => "order",
         };
-        self.sent.get_or_create(&kind_of(kind)).inc();
+        self.sent.get_or_create(&kind_label(kind)).inc();
     }
 
-    /// Another process answered whether it grants a request.
+    /// Another process answered a request for a grant.
     pub fn grant_answered(&self, granted: bool) {
         let outcome = if granted { "granted" } else { "denied" };
-        self.grants.get_or_create(&kind_of(outcome)).inc();
+        self.grants.get_or_create(&kind_label(outcome)).inc();
     }
 
-    /// Another process did not answer whether it grants a request.
+    /// Another process did not answer a request for a grant in time.
     pub fn grant_unanswered(&self) {
-        self.grants.get_or_create(&kind_of("unanswered")).inc();
+        self.grants.get_or_create(&kind_label("unanswered")).inc();
     }
 
-    /// How many servers with a limit got something from this entry lately.
+    /// Sets the number of servers with a request limit that this entry recently sent something to.
     pub fn set_limited_servers(&self, servers: usize) {
         self.limited.set(i64::try_from(servers).unwrap_or(i64::MAX));
     }
 
-    /// A request began.
+    /// A caller's request started.
     pub fn request_started(&self) {
         self.running.inc();
     }
 
-    /// A request ended.
+    /// A caller's request ended.
     pub fn request_ended(&self, service: &str, outcome: &str, took: Duration) {
         self.running.dec();
         let label = Ended {
@@ -153,22 +153,23 @@
             outcome: outcome.to_owned(),
         };
         self.ended.get_or_create(&label).inc();
-        let of = of(service);
-        self.whole.get_or_create(&of).observe(took.as_secs_f64());
+        let label = service_label(service);
+        self.whole.get_or_create(&label).observe(took.as_secs_f64());
     }
 
-    /// The first event or the answer came, after what was predicted (0: nothing was).
+    /// The first event or the response came. `predicted_ms`: the time predicted for that, 0 if
+    /// there was no prediction.
     pub fn first_response(&self, service: &str, took: Duration, predicted_ms: f64) {
-        let of = of(service);
+        let label = service_label(service);
         let seconds = took.as_secs_f64();
-        self.first.get_or_create(&of).observe(seconds);
+        self.first.get_or_create(&label).observe(seconds);
         if predicted_ms > 0.0 {
             let ratio = seconds * 1e3 / predicted_ms;
-            self.predicted.get_or_create(&of).observe(ratio);
+            self.predicted.get_or_create(&label).observe(ratio);
         }
     }
 
-    /// An attempt gave no answer to pass on.
+    /// An attempt ended without a response to pass on.
     pub fn attempt_failed(&self, service: &str, end: &str) {
         let label = Ended {
             service: service.to_owned(),
@@ -178,13 +179,13 @@
     }
 }
 
-fn kind_of(kind: &str) -> For {
+fn kind_label(kind: &str) -> For {
     For {
         kind: kind.to_owned(),
     }
 }
 
-fn of(service: &str) -> Of {
+fn service_label(service: &str) -> Of {
     Of {
         service: service.to_owned(),
     }
--- a/src/edge/direct/daemon.rs
+++ b/src/edge/direct/daemon.rs
@@ -1,5 +1,5 @@
-//! A process with an entry that drives backend servers itself, and control where it has a data
-//! folder: its start, its reloads and its end.
+//! A process with an entry without sidecars, and the control role if it has a data folder: its
+//! start, its reloads and its end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -36,45 +36,45 @@
 use crate::edge::signal;
 use crate::log_event;
 
-/// Log records that may wait for standard output; what is over is dropped and counted.
-const LOG_RING: usize = 1_024;
+/// Log records that may wait for standard output. Records beyond that are dropped and counted.
+const LOG_QUEUE: usize = 1_024;
 
-/// Time between two sweeps, and two looks at the settings file.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Time between two sweeps, and between two checks of the settings file.
+const SWEEP_PERIOD: Duration = Duration::from_secs(1);
 
-/// All that a process is set up with.
+/// All settings of a process.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// For all roles.
+    /// Settings that all roles need.
     pub node: node::Settings,
-    /// The control role.
+    /// Settings of the control role. `None`: the process has none.
     pub control: Option<control::Settings>,
-    /// The entry.
+    /// Settings of the entry.
     pub direct: Settings,
-    /// Where callers come.
+    /// Listener address for callers.
     pub front: Option<SocketAddr>,
-    /// Where backend servers and operators call.
+    /// Listener address for backend servers and operators.
     pub admin: Option<SocketAddr>,
-    /// Where the balancer asks whether callers may come.
+    /// Listener address for the load balancer's readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Listener address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
 }
 
-/// Reads the settings again.
+/// Reads the settings again; on failure returns their findings.
 pub type Reload = Box<dyn Fn() -> Result<Setup, Vec<String>> + Send>;
 
-/// What a platform brings.
+/// The parts that differ from platform to platform.
 pub struct Platform<A> {
-    /// Its language.
+    /// Header and body formats.
     pub dialect: Box<dyn dialect::Dialect>,
-    /// Reads its configuration documents.
+    /// Parses configuration documents.
     pub read: Read,
-    /// Makes the handler of calls of backend servers and operators.
+    /// Creates the handler for calls of backend servers and operators.
     pub admin: fn(&Arc<Direct>) -> Arc<A>,
-    /// Reads its settings again.
+    /// Reads the settings again.
     pub reload: Reload,
 }
 
@@ -82,26 +82,26 @@
 pub fn run<A: listener::Handler>(setup: Setup, platform: Platform<A>) -> anyhow::Result<()> {
     let json = slog_json::Json::default(io::stdout()).fuse();
     let (drain, guard) = slog_async::Async::new(json)
-        .chan_size(LOG_RING)
+        .chan_size(LOG_QUEUE)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
     let log = slog::Logger::root(drain.fuse(), slog::o!("node" => setup.node.name.clone()));
     let signals =
         signal::listen(&[consts::SIGTERM, consts::SIGINT, consts::SIGHUP]).context("signals")?;
-    // One thread: the machines have a part of a core, and a task's hop to another thread costs
-    // more than the work it brings.
+    // One thread: the machines have a part of a core, and moving a task to another thread costs
+    // more than the task's work.
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("runtime")?;
-    let ended = runtime.block_on(serve(setup, platform, &log, signals));
-    if let Err(err) = &ended {
+    let result = runtime.block_on(serve(setup, platform, &log, signals));
+    if let Err(err) = &result {
         log_event!(log, Event::RoleFailed, "cause" => format!("{err:#}"));
     }
     runtime.shutdown_background();
     drop(log);
     drop(guard);
-    ended
+    result
 }
 
 async fn serve<A: listener::Handler>(
@@ -119,33 +119,39 @@
         node.set_control(role);
     }
     let direct = Direct::new(&node, setup.direct.clone(), platform.dialect);
-    let (doors, closing) = stop::Doors::open();
-    // Callers' comes last: a process that fails to start takes no connection that it would cut.
+    let (listeners, closing) = stop::Doors::open();
+    // The callers' listener comes last: a process that fails to start accepts no connection that it
+    // would then cut.
     let admin = bind_any(setup.admin, "operators' listener").await?;
-    let mut looks = Vec::new();
+    let mut status_listeners = Vec::new();
     for addr in setup.ready.into_iter().chain(setup.metrics) {
-        looks.push(bind(addr).await.context("readiness and metrics")?);
+        status_listeners.push(bind(addr).await.context("readiness and metrics")?);
     }
     let front = bind_any(setup.front, "callers' listener").await?;
     if let Some(listener) = front {
         let handler = Arc::clone(&direct);
-        let open = doors.callers.clone();
+        let open = listeners.callers.clone();
         tokio::spawn(listener::serve(listener, handler, closing.clone(), open));
     }
     if let Some(listener) = admin {
         let handler = (platform.admin)(&direct);
-        let open = doors.operators.clone();
+        let open = listeners.operators.clone();
         tokio::spawn(listener::serve(listener, handler, closing, open));
     }
-    let look = Arc::new(Look {
+    let status = Arc::new(Status {
         direct: Arc::clone(&direct),
-        leaving: AtomicBool::new(false),
+        draining: AtomicBool::new(false),
     });
-    let (_always, never) = watch::channel(listener::Stage::Open);
-    for listener in looks {
-        let handler = Arc::clone(&look);
+    let (_sender, always_open) = watch::channel(listener::Stage::Open);
+    for listener in status_listeners {
+        let handler = Arc::clone(&status);
         let open = listener::Connections::default();
-        tokio::spawn(listener::serve(listener, handler, never.clone(), open));
+        tokio::spawn(listener::serve(
+            listener,
+            handler,
+            always_open.clone(),
+            open,
+        ));
     }
     let key = setup.node.process_key.clone();
     let handler = Arc::clone(&node);
@@ -163,8 +169,8 @@
         "votes" => setup.direct.votes, "first_start" => setup.direct.first_start,
         "seeds" => format!("{:?}", setup.node.seeds));
     let grace = setup.grace;
-    let mut settings = Reloaded::new(setup, platform.reload);
-    let mut sweep = time::interval(SWEEP);
+    let mut settings = Reloader::new(setup, platform.reload);
+    let mut sweep = time::interval(SWEEP_PERIOD);
     sweep.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -177,63 +183,64 @@
             },
             _ = sweep.tick() => {
                 direct.sweep();
-                tell_left_out(&direct);
+                log_suppressed(&direct);
                 settings.reload_quietly(&node);
             }
         }
     }
-    look.leaving.store(true, Ordering::Release);
-    stop::drain(&direct, &doors, grace, &mut signals).await;
+    status.draining.store(true, Ordering::Release);
+    stop::drain(&direct, &listeners, grace, &mut signals).await;
     let cut = stop::log_cut(&direct);
-    log_event!(log, Event::Stopped, "connections" => doors.callers.count(),
-        "calls" => doors.operators.count(), "cut" => cut);
+    log_event!(log, Event::Stopped, "connections" => listeners.callers.count(),
+        "calls" => listeners.operators.count(), "cut" => cut);
     Ok(())
 }
 
-/// The settings that a process runs with, and where newer ones come from.
-struct Reloaded {
+/// The settings that may change while the process runs, and their source.
+struct Reloader {
     seeds: Vec<SocketAddr>,
     reload: Reload,
-    /// Whether the last reading had findings, which are logged once.
-    refused: bool,
+    /// Whether the last reload had findings. They are logged once.
+    is_rejected: bool,
 }
 
-impl Reloaded {
+impl Reloader {
     fn new(setup: Setup, reload: Reload) -> Self {
         let seeds = setup.node.seeds;
         Self {
             seeds,
             reload,
-            refused: false,
+            is_rejected: false,
         }
     }
 
+    /// Reloads after a signal, and logs also if nothing changed.
     fn reload(&mut self, node: &node::Node) {
-        self.refused = false;
-        self.take(node, true);
+        self.is_rejected = false;
+        self.apply(node, true);
     }
 
-    /// The file may also change without a signal.
+    /// Reloads without a signal, since the file may have changed, and logs only changes.
     fn reload_quietly(&mut self, node: &node::Node) {
-        self.take(node, false);
+        self.apply(node, false);
     }
 
-    fn take(&mut self, node: &node::Node, loud: bool) {
+    fn apply(&mut self, node: &node::Node, logs_always: bool) {
         match (self.reload)() {
             Ok(setup) => {
-                self.refused = false;
+                self.is_rejected = false;
                 let changed = setup.node.seeds != self.seeds;
                 if changed {
                     self.seeds.clone_from(&setup.node.seeds);
                     node.set_seeds(setup.node.seeds);
                 }
-                if changed || loud {
+                if changed || logs_always {
                     log_event!(node.log(), Event::SettingsLoaded, "changed" => changed,
                         "seeds" => format!("{:?}", self.seeds));
                 }
             }
-            Err(findings) if !self.refused => {
-                self.refused = true;
+            Err(findings) if !self.is_rejected => {
+                self.is_rejected = true;
                 for finding in findings {
                     log_event!(node.log(), Event::SettingsRefused, "finding" => finding);
                 }
@@ -243,19 +250,20 @@
     }
 }
 
-fn tell_left_out(direct: &Direct) {
+/// Logs how many lines of each event were suppressed.
+fn log_suppressed(direct: &Direct) {
     for (number, count) in direct.log_limiter.take_suppressed() {
         log_event!(direct.node.log(), Event::LinesLeftOut, "of" => number, "count" => count);
     }
 }
 
-/// Answers the balancer, and whoever reads metrics.
-struct Look {
+/// Serves readiness and metrics.
+struct Status {
     direct: Arc<Direct>,
-    leaving: AtomicBool,
+    draining: AtomicBool,
 }
 
-impl listener::Handler for Look {
+impl listener::Handler for Status {
     async fn handle(
         self: &Arc<Self>,
         request: http::Request<body::Incoming>,
@@ -268,7 +276,7 @@
             response.headers_mut().insert(header::CONTENT_TYPE, kind);
             return response;
         }
-        let ready = !self.leaving.load(Ordering::Acquire) && self.direct.ready();
+        let ready = !self.draining.load(Ordering::Acquire) && self.direct.ready();
         let mut response = http::Response::new(listener::full(""));
         if !ready {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -291,14 +299,14 @@
     }
 }
 
-/// Binds `addr`; a former life of the process may still be closing.
+/// Binds `addr`, with retries: the former process may still be closing.
 async fn bind(addr: SocketAddr) -> anyhow::Result<TcpListener> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match TcpListener::bind(addr).await {
             Ok(listener) => return Ok(listener),
-            Err(err) if tries >= 20 => return Err(err).with_context(|| addr.to_string()),
-            Err(_) => tries += 1,
+            Err(err) if retries >= 20 => return Err(err).with_context(|| addr.to_string()),
+            Err(_) => retries += 1,
         }
         time::sleep(Duration::from_millis(50)).await;
     }
--- a/src/edge/direct/electorate.rs
+++ b/src/edge/direct/electorate.rs
@@ -1,4 +1,4 @@
-//! Who may vote, told to the control role of this process.
+//! Gives the control role of this process the processes that may vote.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use crate::wire::member;
 use crate::wire::rpc;
 
-/// Time that processes have to find each other before the first cluster is founded. They start
-/// within some hundred milliseconds of each other.
-const GATHER: Duration = Duration::from_millis(700);
+/// Time from the start for processes to discover each other before they found the first cluster.
+/// They start within some hundred milliseconds of each other.
+const DISCOVERY_TIME: Duration = Duration::from_millis(700);
 
 impl Direct {
-    /// Tells the control role, and whoever asks it, who may vote and who leads.
+    /// Gives the control role the processes that may vote, and makes them this process's view.
     pub(super) fn update_control(&self, now: Duration) {
         let node = &self.node;
         let voters = self.roster().voters();
         if let Some(control) = node.control() {
-            let known = voters.iter().map(|one| one.link).collect();
+            let known = voters.iter().map(|peer| peer.link).collect();
             control.know(known, self.founders(now, &voters));
         }
-        let peers = voters.into_iter().map(|one| member::Peer {
+        let peers = voters.into_iter().map(|peer| member::Peer {
             role: member::Role::Control,
-            name: one.link.to_string(),
-            zone: one.zone,
-            link: one.link,
-            incarnation: one.life,
+            name: peer.link.to_string(),
+            zone: peer.zone,
+            link: peer.link,
+            incarnation: peer.life,
             revision: 0,
         });
         node.set_view(rpc::View {
@@ -35,30 +35,34 @@
         });
     }
 
-    /// Who founds the cluster, once that is clear: the seeds that may vote, all of which must be
-    /// there; without any such, all that may vote.
+    /// Founders of the first cluster: the seeds that may vote, or all that may vote if no seed may.
+    /// `None`: not known yet, as long as a seed is missing, or this is no first start.
     fn founders(&self, now: Duration, voters: &[gossip::Peer]) -> Option<Vec<SocketAddr>> {
         let settings = &self.settings;
-        if !settings.first_start || now < GATHER {
+        if !settings.first_start || now < DISCOVERY_TIME {
             return None;
         }
         let me = self.node.settings().link;
         let seeds = self.node.seeds();
         let roster = self.roster();
-        let is_there = |addr: &SocketAddr| *addr == me || roster.knows(addr);
-        if !seeds.iter().all(is_there) {
+        let is_present = |addr: &SocketAddr| *addr == me || roster.knows(addr);
+        if !seeds.iter().all(is_present) {
             return None;
         }
-        let first = voters.iter().filter(|one| one.first_start);
-        let mut all: Vec<SocketAddr> = first.map(|one| one.link).collect();
+        let starting = voters.iter().filter(|peer| peer.first_start);
+        let mut all: Vec<SocketAddr> = starting.map(|peer| peer.link).collect();
         if settings.votes {
             all.push(me);
         }
-        let seeded: Vec<SocketAddr> = all
+        let voting_seeds: Vec<SocketAddr> = all
             .iter()
             .copied()
             .filter(|addr| seeds.contains(addr))
             .collect();
-        Some(if seeded.is_empty() { all } else { seeded })
+        Some(if voting_seeds.is_empty() {
+            all
+        } else {
+            voting_seeds
+        })
     }
 }
--- a/src/edge/direct/eligibility.rs
+++ b/src/edge/direct/eligibility.rs
@@ -1,4 +1,5 @@
-//! Servers that a request may go to, by how they stand: heard of, answering, with or without a limit.
+//! Backend servers that a request may go to, by state: heard recently, responsive, with or without
+//! a request limit.
 
 use std::time::Duration;
 
@@ -6,86 +7,89 @@
 use crate::direct::register;
 use crate::direct::subset;
 
-/// Silence of heartbeats after which a server is only used if no other is there.
-const UNHEARD: Duration = Duration::from_secs(6);
+/// Time without heartbeats after which a server is used only if there is no other.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Servers that a request may go to, and the part of the fleet that they belong to.
+/// Servers that a request may go to, and the subset of the fleet that they were taken from.
 pub(super) struct Candidates {
     pub(super) records: Vec<register::Record>,
     pub(super) part: subset::Subset,
 }
 
-/// Servers that a request may go to, but for those that name a limit: those of its part of the
-/// fleet in good standing; failing that, of the whole fleet; failing that, any, if no server with
-/// a limit is in good standing.
+/// Servers without a request limit that a request may go to. Takes the healthy ones of the
+/// request's subset of the fleet. If there are none, takes those of the whole fleet. If there are
+/// none and no server with a limit is healthy either, takes any.
 pub(super) fn candidates(state: &super::State, now: Duration, course: &Course) -> Candidates {
     let ready: Vec<register::Ready<'_>> =
         state.register.ready_keyed(now, &course.service).collect();
     let part = subset::Subset::draw(ready.len(), course.need().draw);
     if part != subset::Subset::WHOLE {
-        let of_part: Vec<register::Ready<'_>> = ready
+        let in_subset: Vec<register::Ready<'_>> = ready
             .iter()
-            .filter(|one| part.holds(one.key))
+            .filter(|server| part.holds(server.key))
             .copied()
             .collect();
-        let good = in_good_standing(state, now, course, &of_part);
-        if !good.open.is_empty() {
-            let records = good.open;
+        let healthy = healthy(state, now, course, &in_subset);
+        if !healthy.unlimited.is_empty() {
+            let records = healthy.unlimited;
             return Candidates { records, part };
         }
     }
     Candidates {
-        records: of_whole(state, now, course, &ready),
+        records: of_whole_fleet(state, now, course, &ready),
         part: subset::Subset::WHOLE,
     }
 }
 
-struct Good {
-    /// Those that name no limit.
-    open: Vec<register::Record>,
-    /// Whether there are others.
+struct Healthy {
+    /// Servers without a request limit.
+    unlimited: Vec<register::Record>,
+    /// Whether there are healthy servers with a limit.
     has_limited: bool,
 }
 
-fn in_good_standing(
+fn healthy(
     state: &super::State,
     now: Duration,
     course: &Course,
     ready: &[register::Ready<'_>],
-) -> Good {
-    let good = ready
+) -> Healthy {
+    let healthy = ready
         .iter()
-        .filter(|one| is_good(state, now, course, one.record, one.age));
-    let (limited, open): (Vec<&register::Record>, Vec<&register::Record>) = good
-        .map(|one| one.record)
-        .partition(|one| state.is_limited(&one.life));
-    Good {
-        open: open.into_iter().cloned().collect(),
+        .filter(|server| is_healthy(state, now, course, server.record, server.age));
+    let (limited, unlimited): (Vec<&register::Record>, Vec<&register::Record>) = healthy
+        .map(|server| server.record)
+        .partition(|record| state.is_limited(&record.life));
+    Healthy {
+        unlimited: unlimited.into_iter().cloned().collect(),
         has_limited: !limited.is_empty(),
     }
 }
 
-fn of_whole(
+fn of_whole_fleet(
     state: &super::State,
     now: Duration,
     course: &Course,
     ready: &[register::Ready<'_>],
 ) -> Vec<register::Record> {
-    let good = in_good_standing(state, now, course, ready);
-    if !good.open.is_empty() || good.has_limited {
-        return good.open;
+    let healthy = healthy(state, now, course, ready);
+    if !healthy.unlimited.is_empty() || healthy.has_limited {
+        return healthy.unlimited;
     }
-    let open = ready.iter().map(|one| one.record);
-    let open: Vec<&register::Record> = open.filter(|one| !state.is_limited(&one.life)).collect();
-    let untried = |one: &&&register::Record| !course.tried.contains(&one.life);
-    let rest: Vec<register::Record> = open.iter().filter(untried).copied().cloned().collect();
-    if !rest.is_empty() {
-        return rest;
+    let all = ready.iter().map(|server| server.record);
+    let all: Vec<&register::Record> = all
+        .filter(|record| !state.is_limited(&record.life))
+        .collect();
+    let is_untried = |record: &&&register::Record| !course.tried.contains(&record.life);
+    let untried: Vec<register::Record> = all.iter().filter(is_untried).copied().cloned().collect();
+    if !untried.is_empty() {
+        return untried;
     }
-    open.into_iter().cloned().collect()
+    all.into_iter().cloned().collect()
 }
 
-/// Servers that name a limit: those in good standing; failing that, any if there is no `other`.
+/// Servers with a request limit that a request may go to: the healthy ones, or any if none is
+/// healthy and there is no `other` server.
 pub(super) fn limited(
     state: &super::State,
     now: Duration,
@@ -94,26 +98,26 @@
 ) -> Vec<register::Record> {
     let ready = state.register.ready(now, &course.service);
     let all: Vec<(&register::Record, Duration)> = ready
-        .filter(|(one, _)| state.is_limited(&one.life))
+        .filter(|(record, _)| state.is_limited(&record.life))
         .collect();
-    let good = all
+    let healthy = all
         .iter()
-        .filter(|(one, age)| is_good(state, now, course, one, *age));
-    let good: Vec<register::Record> = good.map(|(one, _)| (*one).clone()).collect();
-    if !good.is_empty() || other {
-        return good;
+        .filter(|(record, age)| is_healthy(state, now, course, record, *age));
+    let healthy: Vec<register::Record> = healthy.map(|(record, _)| (*record).clone()).collect();
+    if !healthy.is_empty() || other {
+        return healthy;
     }
-    all.into_iter().map(|(one, _)| one.clone()).collect()
+    all.into_iter().map(|(record, _)| record.clone()).collect()
 }
 
-/// Whether a server is heard of, answers, and has not failed this request before.
-fn is_good(
+/// Whether a server was heard recently, is not paused, and was not tried by this request before.
+fn is_healthy(
     state: &super::State,
     now: Duration,
     course: &Course,
     server: &register::Record,
     age: Duration,
 ) -> bool {
-    let untried = !course.tried.contains(&server.life);
-    age < UNHEARD && untried && !state.healths.is_out(now, &server.life)
+    let is_untried = !course.tried.contains(&server.life);
+    age < HEARTBEAT_TIMEOUT && is_untried && !state.healths.is_out(now, &server.life)
 }
--- a/src/edge/direct/health_check.rs
+++ b/src/edge/direct/health_check.rs
@@ -1,7 +1,7 @@
-//! Asks engines how they are, each by one entry, and tells the others.
+//! Periodic health checks of engines. Each engine is probed by one entry, which broadcasts changes.
 //!
-//! A server that has turned slow shows it in its report only. A prompt that is read in parts is
-//! as slow as the slowest of its servers, so one such server slows all long prompts.
+//! Only its report shows that a server has become slow. A prompt that several servers read in
+//! segments is as slow as the slowest of them, so one slow server slows all long prompts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,45 +15,49 @@
 use crate::direct::register;
 use crate::direct::rendezvous;
 
-/// Time between two reports of a server. A server that turns slow, four times or more, harms the
-/// requests of this time.
+/// Time between two health checks of a server. A server that becomes slow, by a factor of four or
+/// more, delays the requests that are sent to it within this time.
 const PERIOD: Duration = Duration::from_millis(1_000);
 
-/// Pace told of a server that does not answer.
-const SILENT: u16 = 0;
+/// Pace reported of a server that does not respond. Else a pace is the factor by which a server is
+/// slower than its model, in percent.
+const UNRESPONSIVE: u16 = 0;
 
-/// Asks the servers that fall to this entry, until the process ends.
+/// Checks the servers assigned to this entry, until the process ends.
 pub async fn run(direct: Arc<Direct>) {
     let mut period = time::interval(PERIOD);
     period.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         period.tick().await;
-        for server in own_servers(&direct) {
+        for server in assigned_servers(&direct) {
             tokio::spawn(check(Arc::clone(&direct), server));
         }
     }
 }
 
-/// Servers that this entry asks: each server falls to the entry that ranks highest for it.
-fn own_servers(direct: &Direct) -> Vec<register::Record> {
+/// Servers that this entry checks. Each server is assigned to one entry by rendezvous hashing.
+fn assigned_servers(direct: &Direct) -> Vec<register::Record> {
     let Some(catalog) = direct.catalog() else {
         return Vec::new();
     };
-    let me = process_key(direct.node.settings().link);
+    let me = rendezvous_key(direct.node.settings().link);
     let peers = direct.peers();
     let others = peers.iter().filter(|(_, peer)| peer.serves);
-    let others: Vec<u64> = others.map(|(addr, _)| process_key(*addr)).collect();
+    let others: Vec<u64> = others.map(|(addr, _)| rendezvous_key(*addr)).collect();
     let now = direct.node.now();
     let state = direct.state();
-    let engines = catalog.services().iter().filter(|one| one.engine.is_some());
-    let servers = engines.flat_map(|one| state.register.ready_keyed(now, &one.name));
-    // A server that names a limit is not asked: questions count against it.
-    let open = servers.filter(|one| !state.is_limited(&one.record.life));
-    let own = open.filter(|one| rendezvous::falls_to(one.key, me, &others));
-    own.map(|one| one.record.clone()).collect()
+    let engines = catalog
+        .services()
+        .iter()
+        .filter(|service| service.engine.is_some());
+    let servers = engines.flat_map(|service| state.register.ready_keyed(now, &service.name));
+    // A server with a request limit is not probed: probes count against the limit.
+    let unlimited = servers.filter(|server| !state.is_limited(&server.record.life));
+    let assigned = unlimited.filter(|server| rendezvous::falls_to(server.key, me, &others));
+    assigned.map(|server| server.record.clone()).collect()
 }
 
-fn process_key(addr: SocketAddr) -> u64 {
+fn rendezvous_key(addr: SocketAddr) -> u64 {
     board::key(&addr.to_string())
 }
 
@@ -62,38 +66,39 @@
     let report = direct.probe(&server).await;
     let pace = match report {
         Some(report) => (report.pace.max(1.0) * 100.0) as u16,
-        None => SILENT,
+        None => UNRESPONSIVE,
     };
-    if pace == SILENT {
-        direct.pause_server(&server.life, "does not report");
+    if pace == UNRESPONSIVE {
+        direct.pause_server(&server.life, "no response to a health check");
     }
-    let same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
-    if !same {
+    let is_same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
+    if !is_same {
         let key = board::server_key(&server.life);
         direct.broadcast(gossip::News::Paces(vec![(key, pace)]));
     }
 }
 
 impl Direct {
-    /// Sends nothing new to a server for a while, and tells the others to do so.
+    /// Sends nothing new to a server for a while, and has all other entries do the same.
     pub(super) fn pause_server_everywhere(&self, server: &register::Life) {
-        self.pause_server(server, "a call broke off that may not be repeated");
+        self.pause_server(server, "a request broke off that may not be repeated");
         let key = board::server_key(server);
-        self.broadcast(gossip::News::Paces(vec![(key, SILENT)]));
+        self.broadcast(gossip::News::Paces(vec![(key, UNRESPONSIVE)]));
     }
 
-    /// Takes what another entry found out about servers.
+    /// Applies the results of another entry's health checks. Unknown servers are skipped.
     pub(super) fn apply_paces(&self, paces: &[(u64, u16)]) {
-        let told: Vec<(register::Life, u16)> = {
+        let known: Vec<(register::Life, u16)> = {
             let state = self.state();
             let life = |key: u64| state.register.life(key).cloned();
-            let told = paces.iter();
-            told.filter_map(|(key, pace)| Some((life(*key)?, *pace)))
+            let paces = paces.iter();
+            paces
+                .filter_map(|(key, pace)| Some((life(*key)?, *pace)))
                 .collect()
         };
-        for (life, pace) in told {
-            if pace == SILENT {
-                self.pause_server(&life, "does not report to another entry");
+        for (life, pace) in known {
+            if pace == UNRESPONSIVE {
+                self.pause_server(&life, "another entry reports no response");
             } else {
                 self.state().healths.paced(&life, f64::from(pace) / 100.0);
             }
--- a/src/edge/direct/heartbeat.rs
+++ b/src/edge/direct/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves, and what is found out about them.
+//! Heartbeats of backend servers, and what entries observe of their failures.
 
 use super::Direct;
 use crate::direct::gossip;
@@ -8,8 +8,8 @@
 use crate::wire::id;
 
 impl Direct {
-    /// Takes what a backend server says of itself, heard here. It is passed on at once if it is
-    /// news. One that names no server to use is refused, with the reason.
+    /// Takes a heartbeat that a backend server sent to this process. If it changes the server's
+    /// record, the record is broadcast at once. Errors: the heartbeat names no usable server.
     pub fn accept_heartbeat(&self, record: register::Record) -> Result<(), register::Refused> {
         let taken = self.apply_record(record.clone(), true)?;
         if matches!(taken, register::Taken::New | register::Taken::Changed) {
@@ -18,16 +18,16 @@
         Ok(())
     }
 
-    /// A heartbeat was refused: it cannot be read, or names no server to use.
-    pub fn heartbeat_rejected(&self, id: &str, why: &str) {
+    /// Counts and logs a heartbeat that cannot be read, or names no usable server.
+    pub fn heartbeat_rejected(&self, id: &str, cause: &str) {
         self.counts.heartbeat_rejected();
         let now = self.node.now();
         if self.log_limiter.allow(Event::HeartbeatRefused, now) {
-            log_event!(self.node.log(), Event::HeartbeatRefused, "server" => id, "cause" => why);
+            log_event!(self.node.log(), Event::HeartbeatRefused, "server" => id, "cause" => cause);
         }
     }
 
-    /// A backend server goes.
+    /// A backend server announced that it leaves.
     pub fn server_left(&self, life: register::Life) {
         let now = self.node.now();
         let record = self.state().register.leave(now, life);
@@ -39,7 +39,7 @@
         self.broadcast(gossip::News::Records(vec![record]));
     }
 
-    /// Takes a record, heard here (`direct`) or passed on.
+    /// Merges a record into the register. `direct`: the server sent it to this process, not gossip.
     pub(crate) fn apply_record(
         &self,
         record: register::Record,
@@ -47,7 +47,7 @@
     ) -> Result<register::Taken, register::Refused> {
         let now = self.node.now();
         let catalog = self.catalog();
-        let is_named = catalog.is_none_or(|one| one.service(&record.service).is_some());
+        let is_named = catalog.is_none_or(|catalog| catalog.service(&record.service).is_some());
         let mut state = self.state();
         state.register.check(&record, is_named)?;
         let taken = state.register.take(now, record.clone(), direct);
@@ -73,25 +73,25 @@
             "phase" => format!("{:?}", record.phase), "seq" => record.seq, "direct" => direct);
     }
 
-    /// A backend server did not answer, or died.
-    pub(crate) fn pause_server(&self, life: &register::Life, why: &str) {
+    /// Sends nothing new to a backend server for a while, since it did not answer or died.
+    pub(crate) fn pause_server(&self, life: &register::Life, cause: &str) {
         let now = self.node.now();
         let until = self.state().healths.missed(now, life);
         self.pool.close_idle(life);
         if self.log_limiter.allow(Event::ServerOut, now) {
-            log_event!(self.node.log(), Event::ServerOut, "server" => life, "cause" => why,
+            log_event!(self.node.log(), Event::ServerOut, "server" => life, "cause" => cause,
                 "pause_ms" => until.saturating_sub(now).as_millis() as u64);
         }
     }
 
-    /// Another life answered where `life` was expected.
+    /// Another instance answered at the address of `life`: the server restarted or was replaced.
     pub(crate) fn server_displaced(&self, life: &register::Life) {
         self.state().register.displaced(life);
         self.pool.close_idle(life);
         log_event!(self.node.log(), Event::ServerDisplaced, "server" => life);
     }
 
-    /// A server died while it ran a request.
+    /// A server died while it ran a request, which is a suspect from now on.
     pub(crate) fn server_died(&self, request: id::Fingerprint, server: &register::Life) {
         let now = self.node.now();
         if self.state().suspects.died(now, request, server) {
--- a/src/edge/direct/listener.rs
+++ b/src/edge/direct/listener.rs
@@ -1,5 +1,6 @@
-//! A listener for HTTP/1.1, by hyper: it drops a request's work when its caller leaves, also
-//! before the first byte of an answer, and breaks an answer off visibly if its body fails.
+//! A listener for HTTP/1.1 on hyper. It drops a request's handler when the caller disconnects, also
+//! before the first byte of the response, and closes the connection mid-body if the body fails, so
+//! that the caller sees a truncated response.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,46 +26,45 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Pause after a connection could not be accepted, as when all descriptors are used.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, as when all file descriptors are in use.
+const ACCEPT_DELAY: Duration = Duration::from_millis(50);
 
-/// Chunks of a body that is made while it is sent.
+/// Chunks of a streamed body.
 pub type Chunks = Pin<Box<dyn futures_core::Stream<Item = io::Result<body::Frame<Bytes>>> + Send>>;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = Either<Full<Bytes>, StreamBody<Chunks>>;
 
-/// A whole body.
+/// A body that is complete before it is sent.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Either::Left(Full::new(bytes.into()))
 }
 
-/// A body that is made while it is sent.
+/// A body that is produced while it is sent.
 pub fn streamed(chunks: Chunks) -> Body {
     Either::Right(StreamBody::new(chunks))
 }
 
-/// What a listener does with requests.
+/// Handles the requests of a listener.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one.
     fn handle(
         self: &Arc<Self>,
         request: http::Request<body::Incoming>,
     ) -> impl Future<Output = http::Response<Body>> + Send;
 
-    /// Time that a connection may be idle before its next request.
+    /// Time that a connection may be idle before the head of its next request is complete.
     fn idle_timeout(&self) -> Duration;
 }
 
-/// What ends a listener.
+/// How far a listener has shut down.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// It takes connections.
+    /// It accepts connections.
     #[default]
     Open,
-    /// It takes connections, and ends each with its next answer.
+    /// It accepts connections, and closes each after its next response.
     Draining,
-    /// It takes none, and ends each with its answer, idle ones at once.
+    /// It accepts none, and closes each after the response in progress, idle ones at once.
     Closing,
 }
 
@@ -73,12 +73,12 @@
 pub struct Connections(Arc<AtomicUsize>);
 
 impl Connections {
-    /// How many there are.
     pub fn count(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 }
 
+/// Counts one connection as open until it is dropped.
 struct Counted(Connections);
 
 impl Drop for Counted {
@@ -87,19 +87,19 @@
     }
 }
 
-/// Serves connections until its stage is [`Stage::Closing`]: then new ones are refused, so that
-/// their callers turn elsewhere at once.
+/// Serves connections until `stage` is [`Stage::Closing`]. Then new connections are refused, so
+/// that their callers try another process at once.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
     stage: watch::Receiver<Stage>,
     open: Connections,
 ) {
-    let mut until = stage.clone();
+    let mut closing = stage.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = until.wait_for(|one| *one == Stage::Closing) => return,
+            _ = closing.wait_for(|stage| *stage == Stage::Closing) => return,
         };
         match accepted {
             Ok((tcp, _)) => {
@@ -111,7 +111,7 @@
                     drop(counted);
                 });
             }
-            Err(_) => time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => time::sleep(ACCEPT_DELAY).await,
         }
     }
 }
@@ -122,17 +122,17 @@
     mut stage: watch::Receiver<Stage>,
 ) {
     if tcp.set_nodelay(true).is_err() {
-        // The caller has gone already.
+        // The caller has disconnected already.
         return;
     }
     let idle = handler.idle_timeout();
-    let leaving = stage.clone();
+    let current = stage.clone();
     let service = service::service_fn(move |request| {
         let handler = Arc::clone(&handler);
-        let leaving = leaving.clone();
+        let current = current.clone();
         async move {
             let mut response = handler.handle(request).await;
-            if *leaving.borrow() != Stage::Open {
+            if *current.borrow() != Stage::Open {
                 let close = header::HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -145,10 +145,10 @@
         .serve_connection(TokioIo::new(tcp), service);
     tokio::pin!(conn);
     let closing = async {
-        let _ = stage.wait_for(|one| *one == Stage::Closing).await;
+        let _ = stage.wait_for(|stage| *stage == Stage::Closing).await;
     };
     tokio::select! {
-        // A connection that fails has no one left to tell.
+        // The caller of a failed connection is gone, so the error has nobody to go to.
         _ = conn.as_mut() => return,
         () = closing => conn.as_mut().graceful_shutdown(),
     }
--- a/src/edge/direct/log_limit.rs
+++ b/src/edge/direct/log_limit.rs
@@ -1,5 +1,5 @@
-//! Bounds the log under load: a few hundred lines a second of each event, and a count of what
-//! was left out.
+//! Rate limit of the log: a few hundred lines a second for each event, and a count of the lines
+//! suppressed.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -7,34 +7,34 @@
 
 use crate::edge::event::Event;
 
-/// Lines of one event a second: ten times what an entry logs at three times its usual load.
-const MOST: u32 = 300;
+/// Most lines of one event a second: ten times what an entry logs at three times its usual load.
+const MAX_LINES_PER_SECOND: u32 = 300;
 
-const SECOND: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct Count {
-    began: Duration,
+    window_start: Duration,
     lines: u32,
     suppressed: u64,
 }
 
-/// Counts lines by event.
+/// Counts log lines by event.
 #[derive(Debug, Default)]
 pub struct Limiter {
     counts: Mutex<HashMap<u32, Count>>,
 }
 
 impl Limiter {
-    /// Whether one more line of this event may be written.
+    /// Whether one more line of this event may be written. Counts it as written or suppressed.
     pub fn allow(&self, event: Event, now: Duration) -> bool {
-        let mut counts = self.counts.lock().expect("lines lock");
+        let mut counts = self.counts.lock().expect("log limiter lock");
         let count = counts.entry(event.number()).or_default();
-        if now >= count.began + SECOND {
-            count.began = now;
+        if now >= count.window_start + WINDOW {
+            count.window_start = now;
             count.lines = 0;
         }
-        if count.lines >= MOST {
+        if count.lines >= MAX_LINES_PER_SECOND {
             count.suppressed += 1;
             return false;
         }
@@ -42,9 +42,9 @@
         true
     }
 
-    /// Lines left out since the last call, by the number of their event.
+    /// Lines suppressed since the last call, by event number.
     pub fn take_suppressed(&self) -> Vec<(u32, u64)> {
-        let mut counts = self.counts.lock().expect("lines lock");
+        let mut counts = self.counts.lock().expect("log limiter lock");
         let counts = counts.iter_mut().filter(|(_, count)| count.suppressed > 0);
         let taken = counts.map(|(number, count)| (*number, std::mem::take(&mut count.suppressed)));
         taken.collect()
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -1,4 +1,4 @@
-//! Datagrams between processes: who is there, which backend servers, what runs where.
+//! The gossip between processes over UDP: membership, backend servers, and the load on them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,27 +22,33 @@
 use crate::log_event;
 use crate::wire::rpc;
 
-/// Time between two greetings. A process that is new is known everywhere after two of them.
-const HELLO: Duration = Duration::from_millis(400);
+/// Time between two hello messages. A new process is known everywhere after two of them.
+const HELLO_PERIOD: Duration = Duration::from_millis(400);
 
-/// Time between two tries to reach a seed, and how long after its start a process tries that often:
-/// as long as processes of one start may be apart, several times over.
-const KNOCK: Duration = Duration::from_millis(100);
-const KNOCKS: Duration = Duration::from_secs(2);
+/// Time between two hello messages to a seed that was not heard yet.
+const SEED_PERIOD: Duration = Duration::from_millis(100);
 
-/// Greetings a round of records heard here: each is said again well before it is missed.
-const ROUNDS: u64 = 2;
+/// Time after its start for which a process greets seeds that often: several times as long as
+/// processes that start together may be apart.
+const SEED_PHASE: Duration = Duration::from_secs(2);
 
-/// How long a record heard here is passed on: longer than two heartbeats are apart.
-const PASS_ON: Duration = Duration::from_millis(3_000);
+/// Hello rounds from one refresh of records and limits to the next. A refresh comes well before
+/// other processes take a server as silent.
+const REFRESH_ROUNDS: u64 = 2;
 
-/// Least time between two words on what runs here, and how it grows with the processes that hear
-/// it. Placing on a view that old costs less than a pass of an engine.
+/// Age up to which a record heard here is gossiped again. Longer than the time between two
+/// heartbeats.
+const RECORD_AGE: Duration = Duration::from_millis(3_000);
+
+/// Least time between two load reports. A view of the load that old delays a request by less than
+/// one pass of an engine.
 const LOADS_PAUSE: Duration = Duration::from_millis(8);
+
+/// Addition to [`LOADS_PAUSE`] for each process that receives the reports.
 const LOADS_PAUSE_EACH: Duration = Duration::from_micros(500);
 
-/// When news is said again after it came, since datagrams get lost: at a loss of one in twenty
-/// all five are lost once in three million times.
+/// Delays after which a broadcast is sent, counted from when it was queued. It is repeated because
+/// datagrams get lost: if one in twenty is lost, all five are lost once in three million times.
 const REPEATS: [Duration; 5] = [
     Duration::ZERO,
     Duration::from_millis(60),
@@ -51,15 +57,17 @@
     Duration::from_millis(1_000),
 ];
 
-/// Time for another process to send a document.
+/// Timeout for fetching a document from another process.
 const PULL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Largest datagram taken.
-const MAX_DATAGRAM: usize = 64 << 10;
+/// Largest datagram received.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
+/// A broadcast that is still to be repeated.
 struct Repeat {
     news: gossip::News,
-    since: Duration,
+    queued_at: Duration,
+    /// Index of the next delay in [`REPEATS`].
     next: usize,
 }
 
@@ -69,16 +77,17 @@
     seq: u64,
     round: u64,
     repeats: Vec<Repeat>,
-    loads_sent: Duration,
+    loads_sent_at: Duration,
     loads_due: bool,
-    /// Whether the next word on loads is of all, not only of what changed.
+    /// Whether the next load report holds all loads, not only those that changed.
     loads_whole: bool,
-    /// What was last told of loads.
+    /// Tracks the loads last reported.
     bulletin: bulletin::Bulletin,
-    pulling: Arc<AtomicBool>,
+    /// Whether a document is being fetched.
+    fetching: Arc<AtomicBool>,
 }
 
-/// Sends and takes datagrams on `socket` until the process ends.
+/// Sends and receives datagrams on `socket` until the process ends.
 pub async fn run(direct: Arc<Direct>, socket: UdpSocket) {
     let mut mesh = Mesh {
         direct,
@@ -86,50 +95,55 @@
         seq: 0,
         round: 0,
         repeats: Vec::new(),
-        loads_sent: Duration::ZERO,
+        loads_sent_at: Duration::ZERO,
         loads_due: false,
         loads_whole: true,
         bulletin: bulletin::Bulletin::default(),
-        pulling: Arc::default(),
+        fetching: Arc::default(),
     };
     mesh.run().await;
 }
 
 impl Mesh {
     async fn run(&mut self) {
-        let mut hello = time::interval(HELLO);
+        let mut hello = time::interval(HELLO_PERIOD);
         hello.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut knock = time::interval(KNOCK);
-        knock.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut buf = vec![0; MAX_DATAGRAM];
+        let mut seed_hello = time::interval(SEED_PERIOD);
+        seed_hello.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         let direct = Arc::clone(&self.direct);
         loop {
             let due = self.next_due();
             tokio::select! {
                 _ = hello.tick() => self.greet(),
-                _ = knock.tick(), if direct.node.now() < KNOCKS => self.knock(),
-                got = self.socket.recv_from(&mut buf) => {
-                    // A datagram to a closed port comes back as an error of this socket.
-                    if let Ok((len, _)) = got
+                _ = seed_hello.tick(), if direct.node.now() < SEED_PHASE => self.greet_seeds(),
+                received = self.socket.recv_from(&mut buf) => {
+                    // An error may be only that an earlier datagram went to a closed port.
+                    if let Ok((len, _)) = received
                         && let Some(datagram) = gossip::decode(&buf[..len])
                     {
-                        self.take(datagram);
+                        self.receive(datagram);
                     }
                 }
                 () = direct.loads_changed.notified(), if !self.loads_due => self.loads_due = true,
-                () = direct.news_came.notified() => self.take_news(),
+                () = direct.message_queued.notified() => self.send_queued(),
                 () = time::sleep(due) => self.send_due(),
             }
         }
     }
 
-    /// Time until something is to be sent.
+    /// Time until the next repeat or load report is due.
     fn next_due(&self) -> Duration {
         let now = self.direct.node.now();
-        let repeats = self.repeats.iter().map(|one| one.since + REPEATS[one.next]);
-        let loads = self.loads_due.then(|| self.loads_sent + self.loads_pause());
+        let repeats = self
+            .repeats
+            .iter()
+            .map(|repeat| repeat.queued_at + REPEATS[repeat.next]);
+        let loads = self
+            .loads_due
+            .then(|| self.loads_sent_at + self.loads_pause());
         let due = repeats.chain(loads).min();
-        due.map_or(HELLO, |due| due.saturating_sub(now))
+        due.map_or(HELLO_PERIOD, |due| due.saturating_sub(now))
     }
 
     fn loads_pause(&self) -> Duration {
@@ -139,34 +153,35 @@
 
     fn send_due(&mut self) {
         let now = self.direct.node.now();
-        if self.loads_due && now >= self.loads_sent + self.loads_pause() {
+        if self.loads_due && now >= self.loads_sent_at + self.loads_pause() {
             self.send_loads(now);
         }
         let mut due = Vec::new();
-        self.repeats.retain_mut(|one| {
-            while one.next < REPEATS.len() && now >= one.since + REPEATS[one.next] {
-                if one.next == 0 || due.last() != Some(&one.news) {
-                    due.push(one.news.clone());
+        self.repeats.retain_mut(|repeat| {
+            while repeat.next < REPEATS.len() && now >= repeat.queued_at + REPEATS[repeat.next] {
+                if repeat.next == 0 || due.last() != Some(&repeat.news) {
+                    due.push(repeat.news.clone());
                 }
-                one.next += 1;
+                repeat.next += 1;
             }
-            one.next < REPEATS.len()
+            repeat.next < REPEATS.len()
         });
         for news in due {
             self.send_all(news);
         }
     }
 
-    fn take_news(&mut self) {
-        let since = self.direct.node.now();
-        let letters = std::mem::take(&mut *self.direct.letters.lock().expect("letters lock"));
-        for (to, news) in letters {
+    fn send_queued(&mut self) {
+        let queued_at = self.direct.node.now();
+        let unicasts = std::mem::take(&mut *self.direct.unicasts.lock().expect("unicasts lock"));
+        for (to, news) in unicasts {
             self.send(news, &[to]);
         }
-        let news = std::mem::take(&mut *self.direct.news.lock().expect("news lock"));
-        let repeats = news.into_iter().map(|news| Repeat {
+        let broadcasts =
+            std::mem::take(&mut *self.direct.broadcasts.lock().expect("broadcasts lock"));
+        let repeats = broadcasts.into_iter().map(|news| Repeat {
             news,
-            since,
+            queued_at,
             next: 0,
         });
         self.repeats.extend(repeats);
@@ -175,32 +190,33 @@
 
     fn send_loads(&mut self, now: Duration) {
         self.loads_due = false;
-        self.loads_sent = now;
+        self.loads_sent_at = now;
         if !self.direct.settings.serves {
             return;
         }
         let whole = std::mem::take(&mut self.loads_whole);
-        let told = {
+        let report = {
             let state = self.direct.state();
             self.bulletin.next(&state.board, now, whole)
         };
         let news = gossip::News::Loads {
-            whole: told.whole,
-            loads: told.loads,
-            waiting: told.waiting,
+            whole: report.whole,
+            loads: report.loads,
+            waiting: report.waiting,
         };
-        self.spread(news);
+        self.send_by_zone(news);
     }
 
-    /// Sends to all: to those of its own zone, and in each other zone to one that passes it on.
-    /// Bytes between zones are dear, and with six processes a zone this sends a sixth of them.
-    fn spread(&mut self, news: gossip::News) {
+    /// Sends to all processes: directly within its own zone, and in each other zone to one process
+    /// that relays it. Traffic between zones is expensive, and with six processes a zone this
+    /// sends a sixth of it.
+    fn send_by_zone(&mut self, news: gossip::News) {
         let own = self.direct.node.settings().zone.clone();
-        let mut near = Vec::new();
+        let mut targets = Vec::new();
         let mut zones: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
         for (addr, peer) in self.direct.peers() {
             if peer.zone == own {
-                near.push(addr);
+                targets.push(addr);
             } else {
                 zones.entry(peer.zone).or_default().push(addr);
             }
@@ -209,10 +225,10 @@
         for mut addrs in zones.into_values() {
             addrs.sort_unstable();
             if addrs.len() > 1 {
-                // Each in its turn, so that one that has just died costs some of the datagrams.
+                // Relays take turns, so that a relay that just died loses only some datagrams.
                 relays.push(addrs[self.seq as usize % addrs.len()]);
             } else {
-                near.extend(addrs);
+                targets.extend(addrs);
             }
         }
         self.seq += 1;
@@ -222,22 +238,22 @@
             relay: false,
             news,
         };
-        self.send_datagram(&datagram, &near);
+        self.send_datagram(&datagram, &targets);
         datagram.relay = true;
         self.send_datagram(&datagram, &relays);
     }
 
-    /// Passes a datagram on to the others of this process's zone.
+    /// Forwards a datagram to the other processes of this zone.
     fn relay(&self, datagram: &gossip::Datagram) {
         let own = &self.direct.node.settings().zone;
         let peers = self.direct.peers();
-        let near = peers.iter().filter(|(_, peer)| peer.zone == *own);
-        let near: Vec<SocketAddr> = near.map(|(addr, _)| *addr).collect();
-        let passed = gossip::Datagram {
+        let targets = peers.iter().filter(|(_, peer)| peer.zone == *own);
+        let targets: Vec<SocketAddr> = targets.map(|(addr, _)| *addr).collect();
+        let relayed = gossip::Datagram {
             relay: false,
             ..datagram.clone()
         };
-        self.send_datagram(&passed, &near);
+        self.send_datagram(&relayed, &targets);
     }
 
     fn send_datagram(&self, datagram: &gossip::Datagram, targets: &[SocketAddr]) {
@@ -246,7 +262,7 @@
         }
         let bytes = gossip::encode(datagram);
         for addr in targets {
-            // What cannot be sent now counts as lost on the way.
+            // A datagram that can't be sent now counts as lost: all gossip is repeated.
             let _ = self.socket.try_send_to(&bytes, *addr);
         }
     }
@@ -255,7 +271,7 @@
         let now = self.direct.node.now();
         self.direct.state().observe_congestion(now);
         self.round += 1;
-        self.lose_silent(now);
+        self.remove_silent_peers(now);
         let settings = self.direct.node.settings();
         let seeds = self.direct.node.seeds();
         let (named, targets) = {
@@ -263,12 +279,12 @@
             (roster.greeting(now), roster.targets(settings.link, &seeds))
         };
         self.send(gossip::News::Hello(named), &targets);
-        if self.round.is_multiple_of(ROUNDS) {
-            let heard = self.direct.state().register.heard(now, PASS_ON);
+        if self.round.is_multiple_of(REFRESH_ROUNDS) {
+            let heard = self.direct.state().register.heard(now, RECORD_AGE);
             for records in gossip::chunks(heard) {
                 self.send_all(gossip::News::Records(records));
             }
-            let limits = self.direct.state().quotas.lately(now, PASS_ON);
+            let limits = self.direct.state().quotas.lately(now, RECORD_AGE);
             for words in gossip::word_chunks(&limits) {
                 self.send_all(gossip::News::Limits(words));
             }
@@ -279,14 +295,14 @@
     }
 
     /// Greets the seeds that were not heard yet.
-    fn knock(&mut self) {
+    fn greet_seeds(&mut self) {
         let me = self.direct.node.settings().link;
         let seeds = self.direct.node.seeds();
         let unheard = self.direct.roster().unheard(me, &seeds);
         self.send(gossip::News::Hello(Vec::new()), &unheard);
     }
 
-    fn lose_silent(&self, now: Duration) {
+    fn remove_silent_peers(&self, now: Duration) {
         for (peer, silent) in self.direct.roster().lose(now) {
             log_event!(self.direct.node.log(), Event::PeerLost, "peer" => peer,
                 "silent_ms" => silent.as_millis() as u64);
@@ -295,7 +311,7 @@
 
     fn peer_addrs(&self) -> Vec<SocketAddr> {
         let roster = self.direct.roster();
-        roster.present().map(|one| one.link).collect()
+        roster.present().map(|peer| peer.link).collect()
     }
 
     fn me(&self) -> gossip::Peer {
@@ -330,7 +346,7 @@
         self.send_datagram(&datagram, targets);
     }
 
-    fn take(&mut self, datagram: gossip::Datagram) {
+    fn receive(&mut self, datagram: gossip::Datagram) {
         let now = self.direct.node.now();
         let from = &datagram.from;
         if from.link == self.direct.node.settings().link {
@@ -349,7 +365,7 @@
             }
             gossip::News::Records(records) => {
                 for record in records {
-                    // Whoever heard it has logged and counted what is wrong with it.
+                    // The process that received the heartbeat has logged and counted any error.
                     let _ = self.direct.apply_record(record, false);
                 }
             }
@@ -358,13 +374,13 @@
                 loads,
                 waiting,
             } => {
-                let told = board::Told {
+                let report = board::Told {
                     whole,
                     loads,
                     waiting,
                 };
                 let board = &mut self.direct.state().board;
-                board.told(now, from.link, from.life, datagram.seq, told);
+                board.told(now, from.link, from.life, datagram.seq, report);
             }
             gossip::News::Paces(paces) => self.direct.apply_paces(&paces),
             gossip::News::Died(request, server) => {
@@ -379,7 +395,7 @@
             gossip::News::Charged(server) => self.direct.take_charge(server),
         }
         if from.version > self.direct.node.documents().version() {
-            self.pull(from.link);
+            self.fetch_document(from.link);
         }
     }
 
@@ -392,11 +408,11 @@
         }
     }
 
-    /// Tells a process that has just come all that it cannot know yet.
+    /// Sends a new process what it cannot know yet: peers, records, limits and all loads.
     fn welcome(&mut self, now: Duration, addr: SocketAddr) {
         let peers = self.peer_addrs();
         self.send(gossip::News::Hello(peers), &[addr]);
-        let heard = self.direct.state().register.heard(now, PASS_ON);
+        let heard = self.direct.state().register.heard(now, RECORD_AGE);
         for records in gossip::chunks(heard) {
             self.send(gossip::News::Records(records), &[addr]);
         }
@@ -408,16 +424,17 @@
         self.loads_whole = true;
     }
 
-    /// Fetches the newest document from a process that holds a newer one.
-    fn pull(&self, from: SocketAddr) {
-        if self.pulling.swap(true, Ordering::AcqRel) {
+    /// Starts to fetch the newest document from a process that holds a newer one, unless a fetch
+    /// is in progress.
+    fn fetch_document(&self, from: SocketAddr) {
+        if self.fetching.swap(true, Ordering::AcqRel) {
             return;
         }
         let node = Arc::clone(&self.direct.node);
-        let pulling = Arc::clone(&self.pulling);
+        let fetching = Arc::clone(&self.fetching);
         tokio::spawn(async move {
             fetch(&node, from).await;
-            pulling.store(false, Ordering::Release);
+            fetching.store(false, Ordering::Release);
         });
     }
 }
@@ -426,7 +443,7 @@
     let ask = rpc::Ask::Document {
         have: node.documents().version(),
     };
-    // Without an answer the next datagram of a process that is ahead starts another try.
+    // If this fails, the next datagram of a process with a newer document starts another fetch.
     if let Ok(rpc::Answer::Document(Some(document))) = node.link(from).ask(&ask, PULL_TIMEOUT).await
     {
         node.documents().install(document);
@@ -434,15 +451,15 @@
 }
 
 impl Direct {
-    /// The other processes.
+    /// Locks the membership: the other processes known here.
     pub(super) fn roster(&self) -> MutexGuard<'_, roster::Roster> {
         self.roster.lock().expect("roster lock")
     }
 
-    /// Other processes heard lately, by link address.
+    /// Other processes heard recently, by link address.
     pub fn peers(&self) -> HashMap<SocketAddr, gossip::Peer> {
         let roster = self.roster();
         let present = roster.present();
-        present.map(|one| (one.link, one.clone())).collect()
+        present.map(|peer| (peer.link, peer.clone())).collect()
     }
 }
--- a/src/edge/direct/pool.rs
+++ b/src/edge/direct/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: one request at a time on each, kept a short while.
+//! Connections to backend servers: one request at a time on each, kept idle for a short time.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,34 +18,35 @@
 
 use crate::direct::register;
 
-/// Time for a connection to come about: some round trips between zones. A lost opening packet
-/// is sent again only after a second, when another server has long been asked.
+/// Timeout for connecting: some round trips between zones. A lost SYN packet is sent again only
+/// after a second; trying another server is faster.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long a connection is kept where the server does not say.
-const KEEP: Duration = Duration::from_millis(1_500);
+/// Time that a connection is kept idle, unless the server allows less.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Part of the time that a server allows, so as not to meet its closing.
-const KEEP_PART: f64 = 0.6;
+/// Share of the idle time allowed by a server after which its connection is closed here, so that no
+/// request meets a connection that the server closes.
+const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// Connections kept a server.
-const MOST_IDLE: usize = 8;
+/// Most idle connections to a server.
+const MAX_IDLE: usize = 8;
 
-/// Part of the connections that a server accepts which all entries together keep idle: the rest is
-/// for requests.
-const IDLE_PART: f64 = 0.5;
+/// Share of the connections accepted by a server that all entries together keep idle. The rest is
+/// left for requests.
+const IDLE_SHARE: f64 = 0.5;
 
-/// Idle connections that each of `entries` keeps to a server that accepts so many from all callers
-/// together; 0: not known.
+/// Most idle connections that each of `entries` keeps to a server which accepts `accepted`
+/// connections from all clients together. `accepted` is 0 if not known.
 pub fn max_idle(accepted: u32, entries: usize) -> usize {
     if accepted == 0 {
-        return MOST_IDLE;
+        return MAX_IDLE;
     }
-    let own = f64::from(accepted) * IDLE_PART / entries.max(1) as f64;
-    (own as usize).min(MOST_IDLE)
+    let share = f64::from(accepted) * IDLE_SHARE / entries.max(1) as f64;
+    (share as usize).min(MAX_IDLE)
 }
 
-/// A connection. Dropping it closes it, which ends what the server does for it.
+/// A connection. Dropping it closes it, and the server cancels the request on it.
 pub struct Conn {
     sender: http1::SendRequest<Full<Bytes>>,
     task: task::JoinHandle<()>,
@@ -59,17 +60,17 @@
     }
 }
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing of it was sent.
+    /// No byte of it was sent.
     Unsent(String),
-    /// It was sent, in part or whole.
+    /// It was sent, in part or completely.
     Sent(String),
 }
 
 impl Conn {
-    /// Opens a connection.
+    /// Connects to `addr` within [`CONNECT_TIMEOUT`].
     pub async fn open(addr: SocketAddr) -> io::Result<Self> {
         let connecting = TcpStream::connect(addr);
         let tcp = time::timeout(CONNECT_TIMEOUT, connecting)
@@ -80,7 +81,7 @@
             .await
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            // Its failure shows in the request that it carries.
+            // An error shows in the request on this connection.
             let _ = conn.await;
         });
         Ok(Self {
@@ -90,7 +91,7 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn send(
         &mut self,
         request: http::Request<Full<Bytes>>,
@@ -103,11 +104,11 @@
             Ok(response) => Ok(response),
             Err(mut err) => {
                 let unsent = err.take_message().is_some();
-                let why = err.into_error().to_string();
+                let cause = err.into_error().to_string();
                 Err(if unsent {
-                    Failure::Unsent(why)
+                    Failure::Unsent(cause)
                 } else {
-                    Failure::Sent(why)
+                    Failure::Sent(cause)
                 })
             }
         }
@@ -116,24 +117,24 @@
 
 struct Idle {
     conn: Conn,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Idle connections by the life of their server.
+/// Idle connections by server instance.
 #[derive(Default)]
 pub struct Pool {
     idle: Mutex<HashMap<register::Life, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// A connection to a server: a kept one if `kept` allows it, else a new one.
+    /// A connection to a server: an idle one if there is one and `reuse` allows it, else a new one.
     pub async fn conn(
         &self,
         life: &register::Life,
         addr: SocketAddr,
-        kept: bool,
+        reuse: bool,
     ) -> io::Result<Conn> {
-        if kept && let Some(conn) = self.take(life) {
+        if reuse && let Some(conn) = self.take(life) {
             return Ok(conn);
         }
         Conn::open(addr).await
@@ -143,32 +144,37 @@
         let now = Instant::now();
         let mut idle = self.idle.lock().expect("pool lock");
         let conns = idle.get_mut(life)?;
-        while let Some(one) = conns.pop() {
-            if now < one.until && !one.conn.sender.is_closed() && !one.conn.task.is_finished() {
-                return Some(one.conn);
+        while let Some(kept) = conns.pop() {
+            if now < kept.expires_at
+                && !kept.conn.sender.is_closed()
+                && !kept.conn.task.is_finished()
+            {
+                return Some(kept.conn);
             }
         }
         None
     }
 
-    /// Keeps a connection that has carried a whole answer. `allowed`: time that its server
-    /// leaves it idle. `most`: see [`max_idle`].
-    pub fn keep(&self, life: &register::Life, conn: Conn, allowed: Option<Duration>, most: usize) {
-        let keep = allowed.map_or(KEEP, |allowed| allowed.mul_f64(KEEP_PART).min(KEEP));
-        let until = Instant::now() + keep;
+    /// Keeps a connection whose last response was read completely. `allowed`: time that the server
+    /// leaves it idle. `max`: see [`max_idle`].
+    pub fn keep(&self, life: &register::Life, conn: Conn, allowed: Option<Duration>, max: usize) {
+        let timeout = allowed.map_or(IDLE_TIMEOUT, |allowed| {
+            allowed.mul_f64(IDLE_TIMEOUT_SHARE).min(IDLE_TIMEOUT)
+        });
+        let expires_at = Instant::now() + timeout;
         let mut idle = self.idle.lock().expect("pool lock");
         let conns = idle.entry(life.clone()).or_default();
-        if conns.len() < most {
-            conns.push(Idle { conn, until });
+        if conns.len() < max {
+            conns.push(Idle { conn, expires_at });
         }
     }
 
-    /// Closes connections that were idle too long.
+    /// Closes connections whose idle time is over.
     pub fn prune(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock().expect("pool lock");
         for conns in idle.values_mut() {
-            conns.retain(|one| now < one.until && !one.conn.sender.is_closed());
+            conns.retain(|idle| now < idle.expires_at && !idle.conn.sender.is_closed());
         }
         idle.retain(|_, conns| !conns.is_empty());
     }
--- a/src/edge/direct/probe.rs
+++ b/src/edge/direct/probe.rs
@@ -1,4 +1,4 @@
-//! Asks servers whether they are there, and draws conclusions.
+//! Probes backend servers and pauses those that do not respond.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,28 +17,34 @@
 use crate::direct::tally;
 use crate::wire::id;
 
-/// Time for a server to answer a question about itself; some round trips between zones.
+/// Timeout for the response to a probe: some round trips between zones.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two such questions.
-const PROBE_PAUSE: Duration = Duration::from_millis(800);
+/// Time from the end of one probe to the next.
+const PROBE_DELAY: Duration = Duration::from_millis(800);
 
 impl Direct {
-    /// Another server than the one asked was at fault: it could not help.
+    /// Pauses the helper at address `at_fault`, which `server` names as the cause of its failure.
+    /// Does nothing if the address is that of `server` itself.
     pub(super) fn pause_helper(&self, server: &register::Record, at_fault: Option<&str>) {
-        let Some(addr) = at_fault.and_then(|one| one.parse().ok()) else {
+        let Some(addr) = at_fault.and_then(|addr| addr.parse().ok()) else {
             return;
         };
         if addr == server.addr {
             return;
         }
-        let helper = self.state().register.at(addr).map(|one| one.life.clone());
+        let helper = self
+            .state()
+            .register
+            .at(addr)
+            .map(|record| record.life.clone());
         if let Some(helper) = helper {
-            self.pause_server(&helper, "could not help");
+            self.pause_server(&helper, "failed as a helper");
         }
     }
 
-    /// After a connection broke: asks whether the server is still there.
+    /// Probes a server after a connection to it broke. If it does not respond, it has died and the
+    /// request is a suspect.
     pub(super) fn check_after_disconnect(
         self: &Arc<Self>,
         fingerprint: id::Fingerprint,
@@ -52,7 +58,7 @@
         let direct = Arc::clone(self);
         tokio::spawn(async move {
             if direct.probe(&server).await.is_none() {
-                direct.pause_server(&server.life, "connection broken, and no answer since");
+                direct.pause_server(&server.life, "connection broken, no response to a probe");
                 direct.server_died(fingerprint, &server.life);
             } else {
                 let now = direct.node.now();
@@ -61,40 +67,40 @@
         });
     }
 
-    /// Ends when the server answers no question about itself.
+    /// Returns when the server does not respond to a probe. `quiet`: time before the first probe.
     pub(super) async fn until_unresponsive(&self, server: &register::Record, quiet: Duration) {
         time::sleep(quiet).await;
-        // A server that names a limit is not asked: questions count against it.
+        // A server with a request limit is not probed: probes count against the limit.
         loop {
             let limited = self.state().is_limited(&server.life);
             if !limited && self.probe(server).await.is_none() {
                 return;
             }
-            time::sleep(PROBE_PAUSE).await;
+            time::sleep(PROBE_DELAY).await;
         }
     }
 
-    /// Asks a server about itself. `None`: it does not answer, or another life of it does.
+    /// Probes a server for its report. `None`: it does not respond, or another instance does.
     pub(super) async fn probe(&self, server: &register::Record) -> Option<dialect::Report> {
-        let asking = async {
+        let probing = async {
             let mut conn = pool::Conn::open(server.addr).await.ok()?;
             let request = http::Request::get(self.dialect.report_path())
                 .header(http::header::HOST, server.addr.to_string())
                 .body(Full::new(Bytes::new()))
                 .ok()?;
-            let sent = self.sent(&server.life, tally::Kind::Probe);
+            let sent_at = self.sent(&server.life, tally::Kind::Probe);
             let response = conn.send(request).await.ok()?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, 64 << 10);
             let body = body.collect().await.ok()?.to_bytes();
             let report = self.dialect.report(&body).unwrap_or_default();
-            Some((report, sent, head.headers))
+            Some((report, sent_at, head.headers))
         };
-        let (report, sent, headers) = time::timeout(PROBE_TIMEOUT, asking).await.ok()??;
+        let (report, sent_at, headers) = time::timeout(PROBE_TIMEOUT, probing).await.ok()??;
         if !server.life.may_be(report.born) {
             return None;
         }
-        self.take_limit(&server.life, sent, &headers, quota::Source::Other);
+        self.take_limit(&server.life, sent_at, &headers, quota::Source::Other);
         if report.pace > 0.0 {
             self.state().healths.paced(&server.life, report.pace);
         }
--- a/src/edge/direct/publish.rs
+++ b/src/edge/direct/publish.rs
@@ -1,4 +1,4 @@
-//! The configuration as one published document: changes and reads by operators.
+//! The configuration as one published document: how operators change and read it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,28 +14,28 @@
 use crate::log_event;
 use crate::wire::agree;
 
-/// Time for a change or a read to pass the quorum. Whoever asks turns to another process after
-/// a second.
-const TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout for a change or a read to pass the quorum. An operator's client tries another process
+/// after a second.
+const QUORUM_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pauses before a quorum is asked again which document is the newest, doubled from the first to
-/// the last: a restart of the whole has a leader within half a second, and where control is
-/// gone each process calls it once a second.
-const CONFIRM_PAUSES: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
+/// First and longest delay before the quorum is asked again for the newest document; each delay is
+/// twice the one before. After a restart of the whole system there is a leader within half a
+/// second. While there is no quorum, each process asks once a second.
+const CONFIRM_DELAYS: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Published {
     /// This version or a higher one is durable at a quorum.
     Held,
-    /// It has findings, and is not in force.
+    /// It has findings and was rejected.
     Invalid(Vec<catalog::Finding>),
-    /// Not known: it may be sent again.
+    /// Not known. The change may be sent again.
     Unknown,
 }
 
 impl Direct {
-    /// Publishes a document. `read` checks it.
+    /// Publishes a document after `read` has checked it.
     pub async fn publish(&self, text: Bytes, read: Read) -> Published {
         let version = match read(&text) {
             Ok(catalog) => catalog.version(),
@@ -48,7 +48,7 @@
         };
         let known = self.node.documents().version();
         let published = if version <= known {
-            // What is known here is durable at a quorum, and stays.
+            // A document known here is durable at a quorum and is never reverted.
             Published::Held
         } else {
             self.propose(version, &text).await
@@ -63,27 +63,27 @@
             return Published::Unknown;
         };
         let command = agree::Command::Publish(agree::Document { version, packed });
-        match self.node.propose(command, TIMEOUT).await {
+        match self.node.propose(command, QUORUM_TIMEOUT).await {
             agree::Verdict::Done { .. } => Published::Held,
             _ => Published::Unknown,
         }
     }
 
-    /// Asks a quorum once since the start which document is the newest, until it tells.
+    /// Asks the quorum for the newest document until it answers. Called once after the start.
     pub async fn confirm(self: Arc<Self>) {
-        let [mut pause, most] = CONFIRM_PAUSES;
+        let [mut delay, max_delay] = CONFIRM_DELAYS;
         loop {
-            let told = self.node.propose_once(&agree::Command::Newest).await;
-            if let Some(agree::Verdict::Newest(document)) = told {
-                return self.confirmed(document);
+            let verdict = self.node.propose_once(&agree::Command::Newest).await;
+            if let Some(agree::Verdict::Newest(document)) = verdict {
+                return self.set_confirmed(document);
             }
-            time::sleep(pause).await;
-            pause = (pause * 2).min(most);
+            time::sleep(delay).await;
+            delay = (delay * 2).min(max_delay);
         }
     }
 
-    fn confirmed(&self, document: Option<agree::Document>) {
-        let version = document.as_ref().map_or(0, |one| one.version);
+    fn set_confirmed(&self, document: Option<agree::Document>) {
+        let version = document.as_ref().map_or(0, |document| document.version);
         log_event!(self.node.log(), Event::DocumentConfirmed, "version" => version,
             "known" => self.node.documents().version());
         if let Some(document) = document {
@@ -92,11 +92,11 @@
         self.confirmed.send_replace(Some(version));
     }
 
-    /// The text of the newest document, as a quorum knows it. `None`: there is none, or it cannot be known
-    /// now which is the newest.
+    /// The text of the newest document by a read through the quorum. `None`: there is no document,
+    /// or no quorum answered in time.
     pub async fn newest(&self) -> Option<Bytes> {
         let newest = agree::Command::Newest;
-        match self.node.propose(newest, TIMEOUT).await {
+        match self.node.propose(newest, QUORUM_TIMEOUT).await {
             agree::Verdict::Newest(Some(document)) => document::unpack(&document.packed).ok(),
             _ => None,
         }
