--- a/src/edge/document.rs
+++ b/src/edge/document.rs
@@ -1,8 +1,8 @@
 //! The newest committed document that a process knows.
 //!
-//! Documents are packed once, where they come in, and travel and are stored so: a configuration
-//! shrinks to an eighth, and unpacked it would take seconds to all on the smallest links (1.4 s
-//! for 320 kB to 31 processes).
+//! Documents are compressed once, by the process that receives them, and are sent and stored
+//! compressed. A configuration shrinks to an eighth; uncompressed, 320 kB take 1.4 s to 31
+//! processes on the smallest links.
 
 use std::io;
 use std::io::Read as _;
@@ -16,27 +16,27 @@
 
 use crate::wire::agree;
 
-/// Largest text of a document.
-const MOST_BYTES: u64 = 64 << 20;
+/// Largest text of a document. Longer text is cut off when it is unpacked.
+const MAX_TEXT_BYTES: u64 = 64 << 20;
 
-/// Packs a document's text.
+/// Compresses a document's text.
 pub fn pack(text: &[u8]) -> io::Result<Bytes> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(text)?;
     Ok(Bytes::from(encoder.finish()?))
 }
 
-/// The text of a packed document.
+/// Decompresses a document's text.
 pub fn unpack(packed: &[u8]) -> io::Result<Bytes> {
     let mut text = Vec::new();
     DeflateDecoder::new(packed)
-        .take(MOST_BYTES)
+        .take(MAX_TEXT_BYTES)
         .read_to_end(&mut text)?;
     Ok(Bytes::from(text))
 }
 
-/// Holds the newest document. Invariant: its version only grows, so what is in force here never
-/// reverts within a life of the process.
+/// Holds the newest document. Invariant: its version only grows, so the configuration in force
+/// never reverts while the process runs.
 pub struct Store {
     newest: watch::Sender<Option<agree::Document>>,
 }
@@ -50,10 +50,10 @@
 }
 
 impl Store {
-    /// Takes a committed document if it is newer. Whether it was.
+    /// Stores a committed document if it is newer than the one held. Returns whether it is.
     pub fn install(&self, document: agree::Document) -> bool {
         self.newest.send_if_modified(|newest| {
-            let is_newer = document.version > newest.as_ref().map_or(0, |one| one.version);
+            let is_newer = document.version > newest.as_ref().map_or(0, |held| held.version);
             if is_newer {
                 *newest = Some(document);
             }
@@ -61,18 +61,21 @@
         })
     }
 
-    /// Version held. 0: none.
+    /// Version of the document held. 0: none.
     pub fn version(&self) -> u64 {
-        self.newest.borrow().as_ref().map_or(0, |one| one.version)
+        self.newest
+            .borrow()
+            .as_ref()
+            .map_or(0, |document| document.version)
     }
 
-    /// The document, if it is newer than `have`.
+    /// The document held, if its version is greater than `have`.
     pub fn newer_than(&self, have: u64) -> Option<agree::Document> {
         let newest = self.newest.borrow();
-        newest.clone().filter(|one| one.version > have)
+        newest.clone().filter(|document| document.version > have)
     }
 
-    /// Tells of each newer document.
+    /// A receiver that is notified of each newer document.
     pub fn watch(&self) -> watch::Receiver<Option<agree::Document>> {
         self.newest.subscribe()
     }
--- a/src/edge/lifetime.rs
+++ b/src/edge/lifetime.rs
@@ -1,4 +1,4 @@
-//! How long this process goes on: for good, or to a time that a stop has set.
+//! The lifetime of this process: without end, or up to a deadline once it was told to stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,63 +7,64 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// How long this process goes on. Clones share it.
+/// The lifetime of this process. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Lifetime {
-    /// By when all answers are given. `None`: no stop has been asked for. Invariant: once set, it
-    /// only comes nearer.
-    end: Arc<watch::Sender<Option<Instant>>>,
+    /// Deadline for all responses. `None`: the process was not told to stop. Invariant: once set,
+    /// it only becomes earlier.
+    deadline: Arc<watch::Sender<Option<Instant>>>,
 }
 
 impl Default for Lifetime {
     fn default() -> Self {
         Self {
-            end: Arc::new(watch::Sender::new(None)),
+            deadline: Arc::new(watch::Sender::new(None)),
         }
     }
 }
 
 impl Lifetime {
-    /// All answers are to be given by `end`, or by an earlier time that was set before.
-    pub fn end_by(&self, end: Instant) {
-        self.end.send_if_modified(|known| {
-            let is_nearer = known.is_none_or(|known| end < known);
-            if is_nearer {
-                *known = Some(end);
+    /// Stops the process: all responses must be sent by `deadline`. An earlier deadline that was
+    /// set before stays.
+    pub fn end_by(&self, deadline: Instant) {
+        self.deadline.send_if_modified(|current| {
+            let is_earlier = current.is_none_or(|current| deadline < current);
+            if is_earlier {
+                *current = Some(deadline);
             }
-            is_nearer
+            is_earlier
         });
     }
 
-    /// Whether a stop has been asked for.
+    /// Whether the process was told to stop.
     pub fn is_stopping(&self) -> bool {
-        self.end.borrow().is_some()
+        self.deadline.borrow().is_some()
     }
 
-    /// Time that is left for answers. `None`: no stop has been asked for.
+    /// Time left for responses. `None`: the process was not told to stop.
     pub fn remaining(&self) -> Option<Duration> {
-        let end = *self.end.borrow();
-        end.map(|end| end.saturating_duration_since(Instant::now()))
+        let deadline = *self.deadline.borrow();
+        deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits until a stop is asked for.
+    /// Waits until the process is told to stop.
     pub async fn stopping(&self) {
-        let mut end = self.end.subscribe();
-        // The sender lives as long as this.
-        let _ = end.wait_for(Option::is_some).await;
+        let mut deadline = self.deadline.subscribe();
+        // Can't fail: the sender lives as long as `self`.
+        let _ = deadline.wait_for(Option::is_some).await;
     }
 
-    /// Waits until the time for answers is over.
+    /// Waits until the deadline has passed. Without one, waits for it to be set.
     pub async fn expired(&self) {
-        let mut changes = self.end.subscribe();
+        let mut changes = self.deadline.subscribe();
         loop {
-            let end = *changes.borrow_and_update();
-            let Some(end) = end else {
+            let deadline = *changes.borrow_and_update();
+            let Some(deadline) = deadline else {
                 let _ = changes.changed().await;
                 continue;
             };
             tokio::select! {
-                () = time::sleep_until(time::Instant::from_std(end)) => return,
+                () = time::sleep_until(time::Instant::from_std(deadline)) => return,
                 _ = changes.changed() => {}
             }
         }
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -32,14 +32,14 @@
 /// A link to another process.
 pub type Link = link::Client<Node>;
 
-/// Time for one question to another process.
+/// Timeout for one request to another process.
 pub const ASK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause between two tries to reach a quorum.
-const PROPOSE_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a proposal that reached no quorum is retried.
+const PROPOSE_DELAY: Duration = Duration::from_millis(50);
 
-/// How long suspects just told are added to views without them.
-const TOLD_HOLDS: Duration = Duration::from_secs(2);
+/// How long suspects reported directly are added to views that lack them.
+const REPORTED_SUSPECT_TTL: Duration = Duration::from_secs(2);
 
 /// Settings of a process that all its roles need.
 #[derive(Clone, Debug)]
@@ -52,7 +52,8 @@
     pub link: SocketAddr,
     /// Shared key of the system's processes.
     pub process_key: String,
-    /// Link addresses of control processes; on a sidecar also or only of entries.
+    /// Link addresses of control processes. A sidecar may have entries as seeds as well, or only
+    /// entries.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -68,8 +69,8 @@
     seeds: ArcSwap<Vec<SocketAddr>>,
     links: RwLock<HashMap<SocketAddr, Arc<Link>>>,
     view: ArcSwap<rpc::View>,
-    /// Suspects just told, each until a time: a view without them is behind.
-    told: Mutex<Vec<(agree::Suspect, Duration)>>,
+    /// Recently reported suspects and when each expires. A view without them is outdated.
+    reported_suspects: Mutex<Vec<(agree::Suspect, Duration)>>,
     draining: AtomicBool,
     lifetime: lifetime::Lifetime,
     entry: OnceLock<Arc<entry::Entry>>,
@@ -78,7 +79,7 @@
 }
 
 impl Node {
-    /// A process without roles yet.
+    /// Creates a process without roles.
     pub fn new(settings: Settings, log: slog::Logger) -> Arc<Self> {
         let epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -95,7 +96,7 @@
             seeds: ArcSwap::from_pointee(settings.seeds.clone()),
             links: RwLock::default(),
             view: ArcSwap::default(),
-            told: Mutex::default(),
+            reported_suspects: Mutex::default(),
             draining: AtomicBool::new(false),
             lifetime: lifetime::Lifetime::default(),
             entry: OnceLock::new(),
@@ -105,37 +106,34 @@
         })
     }
 
-    /// Its settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Link addresses at which other processes are first looked for.
+    /// Link addresses at which this process first looks for others.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds.load().as_ref().clone()
     }
 
-    /// Takes up other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.seeds.store(Arc::new(seeds));
     }
 
-    /// Its life.
+    /// Identifies this run of the process: its start time in microseconds since 1970.
     pub fn incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
-    /// Time since its start: the `now` of all its decisions.
+    /// Time since the start of the process. All its decisions use this clock.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Its log.
     pub fn log(&self) -> &slog::Logger {
         &self.log
     }
 
-    /// Its metrics.
     pub fn metrics(&self) -> &metric::Registry {
         &self.metrics
     }
@@ -145,7 +143,7 @@
         self.conf.set()
     }
 
-    /// The store of configurations.
+    /// The store behind [`Self::conf`].
     pub fn conf_store(&self) -> &conf::Store {
         &self.conf
     }
@@ -155,19 +153,19 @@
         &self.documents
     }
 
-    /// Who else is there, as control last told.
+    /// The newest view of the other processes from control.
     pub fn view(&self) -> Arc<rpc::View> {
         self.view.load_full()
     }
 
-    /// Takes control's word on who is there.
+    /// Replaces the view, and adds the recently reported suspects to it.
     pub fn set_view(&self, mut view: rpc::View) {
         let now = self.now();
-        let mut told = self.told.lock().expect("told lock");
-        told.retain(|(_, until)| now < *until);
-        for (suspect, _) in told.iter() {
+        let mut reported = self.reported_suspects.lock().expect("suspects lock");
+        reported.retain(|(_, expires_at)| now < *expires_at);
+        for (suspect, _) in reported.iter() {
             let known = view.suspects.iter_mut();
-            let mut known = known.filter(|one| one.fingerprint == suspect.fingerprint);
+            let mut known = known.filter(|known| known.fingerprint == suspect.fingerprint);
             match known.next() {
                 Some(known) if known.servers.len() >= suspect.servers.len() => {}
                 Some(known) => known.clone_from(suspect),
@@ -177,30 +175,33 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Takes suspects of which the quorum just learned; a view made before that may still come.
+    /// Adds suspects that the quorum has just committed. Until they expire, they are also added to
+    /// later views, which may have been made before.
     pub fn add_suspects(&self, suspects: &[agree::Suspect]) {
-        let until = self.now() + TOLD_HOLDS;
-        let told = suspects.iter().map(|suspect| (suspect.clone(), until));
-        self.told.lock().expect("told lock").extend(told);
+        let expires_at = self.now() + REPORTED_SUSPECT_TTL;
+        let reported = suspects.iter().map(|suspect| (suspect.clone(), expires_at));
+        self.reported_suspects
+            .lock()
+            .expect("suspects lock")
+            .extend(reported);
         self.set_view(self.view().as_ref().clone());
     }
 
-    /// Whether it takes no new work.
+    /// Whether this process accepts no new work.
     pub fn draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Takes no new work from now on.
+    /// Accepts no new work from now on.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Release);
     }
 
-    /// How long it goes on.
     pub fn lifetime(&self) -> &lifetime::Lifetime {
         &self.lifetime
     }
 
-    /// Requests and attempts in progress, over its roles.
+    /// Number of requests and attempts in progress, over all roles.
     pub fn in_progress(&self) -> usize {
         let entry = self.entry().map_or(0, |role| role.in_progress());
         let sidecar = self.sidecar().map_or(0, |role| role.in_progress());
@@ -220,32 +221,32 @@
         Arc::clone(link)
     }
 
-    /// Forgets the link to a process that has gone.
+    /// Drops the link to a process that is gone.
     pub fn remove_link(&self, addr: SocketAddr) {
         self.links.write().expect("links lock").remove(&addr);
     }
 
-    /// Puts a command to the agreed state, through this process's own control role or any
-    /// control process that answers. `Unavailable` if none does within `timeout`.
+    /// Proposes a command to the quorum, through the control role of this process or any control
+    /// process that answers, with retries. `Unavailable` if none answers within `timeout`.
     pub async fn propose(
         self: &Arc<Self>,
         command: agree::Command,
         timeout: Duration,
     ) -> agree::Verdict {
-        let tries = async {
+        let attempts = async {
             loop {
                 if let Some(verdict) = self.propose_once(&command).await {
                     return verdict;
                 }
-                time::sleep(PROPOSE_PAUSE).await;
+                time::sleep(PROPOSE_DELAY).await;
             }
         };
-        let verdict = time::timeout(timeout, tries).await;
+        let verdict = time::timeout(timeout, attempts).await;
         verdict.unwrap_or(agree::Verdict::Unavailable)
     }
 
-    /// Puts a command once: to its own control role, else to each control process in turn until
-    /// one answers.
+    /// Proposes a command without retries: to the control role of this process, or else to each
+    /// control process in turn until one answers. `None`: none answered.
     pub(crate) async fn propose_once(
         self: &Arc<Self>,
         command: &agree::Command,
@@ -265,7 +266,7 @@
         None
     }
 
-    /// Link addresses of control processes: from control's word, else the seeds.
+    /// Link addresses of control processes: those of the view, then the seeds.
     pub fn control_addrs(&self) -> Vec<SocketAddr> {
         let view = self.view();
         let known: Vec<SocketAddr> = view
@@ -274,7 +275,7 @@
             .filter(|peer| peer.role == crate::wire::member::Role::Control)
             .map(|peer| peer.link)
             .collect();
-        // The seeds last: all those known may be gone.
+        // The seeds are included in case all processes of the view are gone.
         let mut addrs = known;
         for seed in self.seeds() {
             if !addrs.contains(&seed) {
@@ -284,32 +285,32 @@
         addrs
     }
 
-    /// Adds the entry role.
+    /// Adds the entry role. Panics if it is set already.
     pub fn set_entry(&self, role: Arc<entry::Entry>) {
-        assert!(self.entry.set(role).is_ok(), "the role is set once");
+        assert!(self.entry.set(role).is_ok(), "role set twice");
     }
 
-    /// Adds the sidecar role.
+    /// Adds the sidecar role. Panics if it is set already.
     pub fn set_sidecar(&self, role: Arc<sidecar::Sidecar>) {
-        assert!(self.sidecar.set(role).is_ok(), "the role is set once");
+        assert!(self.sidecar.set(role).is_ok(), "role set twice");
     }
 
-    /// Adds the control role.
+    /// Adds the control role. Panics if it is set already.
     pub fn set_control(&self, role: Arc<control::Control>) {
-        assert!(self.control.set(role).is_ok(), "the role is set once");
+        assert!(self.control.set(role).is_ok(), "role set twice");
     }
 
-    /// Its entry role.
+    /// The entry role, if this process has it.
     pub fn entry(&self) -> Option<&Arc<entry::Entry>> {
         self.entry.get()
     }
 
-    /// Its sidecar role.
+    /// The sidecar role, if this process has it.
     pub fn sidecar(&self) -> Option<&Arc<sidecar::Sidecar>> {
         self.sidecar.get()
     }
 
-    /// Its control role.
+    /// The control role, if this process has it.
     pub fn control(&self) -> Option<&Arc<control::Control>> {
         self.control.get()
     }
--- a/tests/process_lifetime.rs
+++ b/tests/process_lifetime.rs
@@ -1,4 +1,4 @@
-//! How long a process goes on once a stop was asked for.
+//! The deadline of a process that was told to stop: it wakes all waiters and is never extended.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,23 +6,24 @@
 use tokio::time;
 use wigeonbarrow::edge::lifetime::Lifetime;
 
-/// Longest wait for a condition.
-const WAIT: Duration = Duration::from_secs(20);
+/// Timeout for a condition that is expected to come.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-const SOON: Duration = Duration::from_millis(50);
+/// Time after which other tasks have run.
+const SHORT_DELAY: Duration = Duration::from_millis(50);
 
 #[tokio::test]
-async fn goes_on() {
+async fn unlimited_until_stopped() {
     let lifetime = Lifetime::default();
     assert!(!lifetime.is_stopping());
     assert_eq!(lifetime.remaining(), None);
-    let over = time::timeout(SOON, lifetime.expired()).await;
-    assert!(over.is_err(), "no stop was asked for");
+    let expired = time::timeout(SHORT_DELAY, lifetime.expired()).await;
+    assert!(expired.is_err(), "expired without a stop");
 }
 
-/// Whoever began to wait before the stop learns of it.
+/// A task that began to wait before the stop is woken by it.
 #[tokio::test]
-async fn waiters_learn() {
+async fn stop_wakes_waiters() {
     let lifetime = Lifetime::default();
     let shared = lifetime.clone();
     let waiter = tokio::spawn(async move {
@@ -30,27 +31,29 @@
         shared.expired().await;
         Instant::now()
     });
-    time::sleep(SOON).await;
-    let end = Instant::now() + SOON;
-    lifetime.end_by(end);
-    assert!(lifetime.is_stopping() && lifetime.remaining() <= Some(SOON));
-    let over = time::timeout(WAIT, waiter).await.expect("it ends");
-    assert!(over.expect("a time") >= end);
+    time::sleep(SHORT_DELAY).await;
+    let deadline = Instant::now() + SHORT_DELAY;
+    lifetime.end_by(deadline);
+    assert!(lifetime.is_stopping() && lifetime.remaining() <= Some(SHORT_DELAY));
+    let woken = time::timeout(TIMEOUT, waiter)
+        .await
+        .expect("waiter timed out");
+    assert!(woken.expect("waiter panicked") >= deadline);
     assert_eq!(lifetime.remaining(), Some(Duration::ZERO));
 }
 
-/// A second signal brings the end nearer, also for those that wait already; none puts it off.
+/// A second stop makes the deadline earlier, also for tasks that wait already, and never later.
 #[tokio::test]
-async fn only_nearer() {
+async fn deadline_never_extended() {
     let lifetime = Lifetime::default();
-    lifetime.end_by(Instant::now() + WAIT * 2);
+    lifetime.end_by(Instant::now() + TIMEOUT * 2);
     let shared = lifetime.clone();
     let waiter = tokio::spawn(async move { shared.expired().await });
-    time::sleep(SOON).await;
+    time::sleep(SHORT_DELAY).await;
     lifetime.end_by(Instant::now());
-    lifetime.end_by(Instant::now() + WAIT * 2);
-    time::timeout(WAIT, waiter)
+    lifetime.end_by(Instant::now() + TIMEOUT * 2);
+    time::timeout(TIMEOUT, waiter)
         .await
-        .expect("it ends")
-        .expect("a waiter");
+        .expect("waiter timed out")
+        .expect("waiter panicked");
 }
