--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -15,15 +15,15 @@
 use super::document;
 use super::event::Event;
 use super::node;
-use crate::direct::board;
 use crate::direct::budget;
 use crate::direct::catalog;
-use crate::direct::fault;
+use crate::direct::congestion;
 use crate::direct::gossip;
-use crate::direct::pressure;
+use crate::direct::health;
+use crate::direct::load;
+use crate::direct::membership;
 use crate::direct::quota;
 use crate::direct::register;
-use crate::direct::roster;
 use crate::direct::tally;
 use crate::direct::writing;
 use crate::log_event;
@@ -32,18 +32,18 @@
 mod account;
 pub mod attempt;
 pub mod choose;
+pub mod context;
 pub mod count;
-pub mod course;
 pub mod daemon;
 pub mod dialect;
 mod electorate;
 mod eligibility;
+mod grant;
 pub mod health_check;
 pub mod heartbeat;
 pub mod listener;
 pub mod log_limit;
 pub mod mesh;
-mod permit;
 pub mod pool;
 mod probe;
 pub mod progress;
@@ -81,15 +81,15 @@
     /// Known backend servers.
     pub register: register::Register,
     /// Recent failures and slowness of each backend server.
-    pub healths: fault::Healths,
+    pub healths: health::Health,
     /// Requests during which backend servers died.
-    pub suspects: fault::Suspects,
+    pub suspects: health::Suspects,
     /// Budget for retries.
     pub budget: budget::Budget,
     /// Load of each backend server, from all entries.
-    pub board: board::Board,
+    pub board: load::Table,
     /// Share of recent time in which long prompts waited.
-    pub pressure: pressure::Pressure,
+    pub pressure: congestion::Congestion,
     /// Request limits that backend servers announce.
     pub quotas: quota::Quotas,
     /// Counts of what was recently sent to backend servers.
@@ -101,7 +101,7 @@
 impl State {
     /// Samples whether a long prompt waits now.
     pub fn observe_congestion(&mut self, now: Duration) {
-        let waits = self.board.any_waits(now);
+        let waits = self.board.has_waiting(now);
         self.pressure.observe(now, waits);
     }
 }
@@ -116,7 +116,7 @@
     confirmed: watch::Sender<Option<u64>>,
     state: Mutex<State>,
     pool: pool::Pool,
-    roster: Mutex<roster::Roster>,
+    roster: Mutex<membership::Membership>,
     log_limiter: log_limit::Limiter,
     counts: count::Counts,
     /// Requests in progress.
@@ -124,11 +124,11 @@
     /// Notified when load that other entries should know of changed here.
     loads_changed: Notify,
     /// Messages to send to all other processes at once, with repeats.
-    broadcasts: Mutex<Vec<gossip::News>>,
+    broadcasts: Mutex<Vec<gossip::Message>>,
     message_queued: Notify,
     /// Messages to send once, each to one process.
-    unicasts: Mutex<Vec<(SocketAddr, gossip::News)>>,
-    asked: Mutex<permit::Asked>,
+    unicasts: Mutex<Vec<(SocketAddr, gossip::Message)>>,
+    grant_requests: Mutex<grant::Requests>,
     /// Notified when a configuration came into force or a backend server became known.
     availability_changed: Notify,
 }
@@ -145,11 +145,11 @@
     ) -> Arc<Self> {
         let state = State {
             register: register::Register::default(),
-            healths: fault::Healths::default(),
-            suspects: fault::Suspects::default(),
+            healths: health::Health::default(),
+            suspects: health::Suspects::default(),
             budget: budget::Budget::new(settings.retries),
-            board: board::Board::default(),
-            pressure: pressure::Pressure::default(),
+            board: load::Table::default(),
+            pressure: congestion::Congestion::default(),
             quotas: quota::Quotas::default(),
             tally: tally::Tally::default(),
             writing: writing::Writing::default(),
@@ -169,7 +169,7 @@
             broadcasts: Mutex::default(),
             message_queued: Notify::new(),
             unicasts: Mutex::default(),
-            asked: Mutex::default(),
+            grant_requests: Mutex::default(),
             availability_changed: Notify::new(),
             settings,
         })
@@ -314,13 +314,13 @@
     }
 
     /// Sends a message to all other processes at once, with repeats against loss.
-    pub(crate) fn broadcast(&self, news: gossip::News) {
+    pub(crate) fn broadcast(&self, news: gossip::Message) {
         self.broadcasts.lock().expect("broadcasts lock").push(news);
         self.message_queued.notify_one();
     }
 
     /// Sends a message to one other process at once, without repeats.
-    pub(crate) fn send_to(&self, to: SocketAddr, news: gossip::News) {
+    pub(crate) fn send_to(&self, to: SocketAddr, news: gossip::Message) {
         self.unicasts
             .lock()
             .expect("unicasts lock")
@@ -344,7 +344,7 @@
         let service = catalog
             .as_ref()
             .and_then(|catalog| catalog.service(service));
-        let accepted = service.map_or(0, |service| service.connections);
+        let accepted = service.map_or(0, |service| service.max_connections);
         pool::max_idle(accepted, self.entry_count())
     }
 
@@ -352,8 +352,8 @@
     /// each second.
     pub fn sweep(&self) {
         self.pool.prune();
-        self.tell_sent();
-        self.prune_asked();
+        self.log_sent();
+        self.prune_grants();
         let now = self.node.now();
         let mut state = self.state();
         state.register.prune(now);
--- a/src/edge/direct/daemon.rs
+++ b/src/edge/direct/daemon.rs
@@ -119,7 +119,7 @@
         node.set_control(role);
     }
     let direct = Direct::new(&node, setup.direct.clone(), platform.dialect);
-    let (listeners, closing) = stop::Doors::open();
+    let (listeners, closing) = stop::Listeners::open();
     // The callers' listener comes last: a process that fails to start accepts no connection that it
     // would then cut.
     let admin = bind_any(setup.admin, "operators' listener").await?;
--- a/src/edge/direct/eligibility.rs
+++ b/src/edge/direct/eligibility.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::course::Course;
+use super::context::Context;
 use crate::direct::register;
 use crate::direct::subset;
 
@@ -19,24 +19,26 @@
 /// Servers without a request limit that a request may go to. Takes the healthy ones of the
 /// request's subset of the fleet. If there are none, takes those of the whole fleet. If there are
 /// none and no server with a limit is healthy either, takes any.
-pub(super) fn candidates(state: &super::State, now: Duration, course: &Course) -> Candidates {
-    let ready: Vec<register::Ready<'_>> =
-        state.register.ready_keyed(now, &course.service).collect();
-    let part = subset::Subset::draw(ready.len(), course.need().draw);
+pub(super) fn candidates(state: &super::State, now: Duration, context: &Context) -> Candidates {
+    let ready: Vec<register::Ready<'_>> = state
+        .register
+        .ready_with_keys(now, &context.service)
+        .collect();
+    let part = subset::Subset::draw(ready.len(), context.need().draw);
     if part != subset::Subset::WHOLE {
         let in_subset: Vec<register::Ready<'_>> = ready
             .iter()
-            .filter(|server| part.holds(server.key))
+            .filter(|server| part.contains(server.key))
             .copied()
             .collect();
-        let healthy = healthy(state, now, course, &in_subset);
+        let healthy = healthy(state, now, context, &in_subset);
         if !healthy.unlimited.is_empty() {
             let records = healthy.unlimited;
             return Candidates { records, part };
         }
     }
     Candidates {
-        records: of_whole_fleet(state, now, course, &ready),
+        records: of_whole_fleet(state, now, context, &ready),
         part: subset::Subset::WHOLE,
     }
 }
@@ -51,12 +53,12 @@
 fn healthy(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     ready: &[register::Ready<'_>],
 ) -> Healthy {
     let healthy = ready
         .iter()
-        .filter(|server| is_healthy(state, now, course, server.record, server.age));
+        .filter(|server| is_healthy(state, now, context, server.record, server.age));
     let (limited, unlimited): (Vec<&register::Record>, Vec<&register::Record>) = healthy
         .map(|server| server.record)
         .partition(|record| state.is_limited(&record.life));
@@ -69,10 +71,10 @@
 fn of_whole_fleet(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     ready: &[register::Ready<'_>],
 ) -> Vec<register::Record> {
-    let healthy = healthy(state, now, course, ready);
+    let healthy = healthy(state, now, context, ready);
     if !healthy.unlimited.is_empty() || healthy.has_limited {
         return healthy.unlimited;
     }
@@ -80,7 +82,7 @@
     let all: Vec<&register::Record> = all
         .filter(|record| !state.is_limited(&record.life))
         .collect();
-    let is_untried = |record: &&&register::Record| !course.tried.contains(&record.life);
+    let is_untried = |record: &&&register::Record| !context.failed_servers.contains(&record.life);
     let untried: Vec<register::Record> = all.iter().filter(is_untried).copied().cloned().collect();
     if !untried.is_empty() {
         return untried;
@@ -93,16 +95,16 @@
 pub(super) fn limited(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     other: bool,
 ) -> Vec<register::Record> {
-    let ready = state.register.ready(now, &course.service);
+    let ready = state.register.ready(now, &context.service);
     let all: Vec<(&register::Record, Duration)> = ready
         .filter(|(record, _)| state.is_limited(&record.life))
         .collect();
     let healthy = all
         .iter()
-        .filter(|(record, age)| is_healthy(state, now, course, record, *age));
+        .filter(|(record, age)| is_healthy(state, now, context, record, *age));
     let healthy: Vec<register::Record> = healthy.map(|(record, _)| (*record).clone()).collect();
     if !healthy.is_empty() || other {
         return healthy;
@@ -114,10 +116,10 @@
 fn is_healthy(
     state: &super::State,
     now: Duration,
-    course: &Course,
+    context: &Context,
     server: &register::Record,
     age: Duration,
 ) -> bool {
-    let is_untried = !course.tried.contains(&server.life);
-    age < HEARTBEAT_TIMEOUT && is_untried && !state.healths.is_out(now, &server.life)
+    let is_untried = !context.failed_servers.contains(&server.life);
+    age < HEARTBEAT_TIMEOUT && is_untried && !state.healths.is_paused(now, &server.life)
 }
--- a/src/edge/direct/health_check.rs
+++ b/src/edge/direct/health_check.rs
@@ -10,8 +10,8 @@
 use tokio::time;
 
 use super::Direct;
-use crate::direct::board;
 use crate::direct::gossip;
+use crate::direct::load;
 use crate::direct::register;
 use crate::direct::rendezvous;
 
@@ -50,15 +50,15 @@
         .services()
         .iter()
         .filter(|service| service.engine.is_some());
-    let servers = engines.flat_map(|service| state.register.ready_keyed(now, &service.name));
+    let servers = engines.flat_map(|service| state.register.ready_with_keys(now, &service.name));
     // A server with a request limit is not probed: probes count against the limit.
     let unlimited = servers.filter(|server| !state.is_limited(&server.record.life));
-    let assigned = unlimited.filter(|server| rendezvous::falls_to(server.key, me, &others));
+    let assigned = unlimited.filter(|server| rendezvous::is_owner(server.key, me, &others));
     assigned.map(|server| server.record.clone()).collect()
 }
 
 fn rendezvous_key(addr: SocketAddr) -> u64 {
-    board::key(&addr.to_string())
+    load::key(&addr.to_string())
 }
 
 async fn check(direct: Arc<Direct>, server: register::Record) {
@@ -73,24 +73,24 @@
     }
     let is_same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
     if !is_same {
-        let key = board::server_key(&server.life);
-        direct.broadcast(gossip::News::Paces(vec![(key, pace)]));
+        let key = load::server_key(&server.life);
+        direct.broadcast(gossip::Message::Paces(vec![(key, pace)]));
     }
 }
 
 impl Direct {
     /// Sends nothing new to a server for a while, and has all other entries do the same.
-    pub(super) fn pause_server_everywhere(&self, server: &register::Life) {
+    pub(super) fn pause_server_everywhere(&self, server: &register::Instance) {
         self.pause_server(server, "a request broke off that may not be repeated");
-        let key = board::server_key(server);
-        self.broadcast(gossip::News::Paces(vec![(key, UNRESPONSIVE)]));
+        let key = load::server_key(server);
+        self.broadcast(gossip::Message::Paces(vec![(key, UNRESPONSIVE)]));
     }
 
     /// Applies the results of another entry's health checks. Unknown servers are skipped.
     pub(super) fn apply_paces(&self, paces: &[(u64, u16)]) {
-        let known: Vec<(register::Life, u16)> = {
+        let known: Vec<(register::Instance, u16)> = {
             let state = self.state();
-            let life = |key: u64| state.register.life(key).cloned();
+            let life = |key: u64| state.register.instance(key).cloned();
             let paces = paces.iter();
             paces
                 .filter_map(|(key, pace)| Some((life(*key)?, *pace)))
@@ -100,7 +100,9 @@
             if pace == UNRESPONSIVE {
                 self.pause_server(&life, "another entry reports no response");
             } else {
-                self.state().healths.paced(&life, f64::from(pace) / 100.0);
+                self.state()
+                    .healths
+                    .set_pace(&life, f64::from(pace) / 100.0);
             }
         }
     }
--- a/src/edge/direct/heartbeat.rs
+++ b/src/edge/direct/heartbeat.rs
@@ -10,10 +10,10 @@
 impl Direct {
     /// Takes a heartbeat that a backend server sent to this process. If it changes the server's
     /// record, the record is broadcast at once. Errors: the heartbeat names no usable server.
-    pub fn accept_heartbeat(&self, record: register::Record) -> Result<(), register::Refused> {
+    pub fn accept_heartbeat(&self, record: register::Record) -> Result<(), register::Rejection> {
         let taken = self.apply_record(record.clone(), true)?;
-        if matches!(taken, register::Taken::New | register::Taken::Changed) {
-            self.broadcast(gossip::News::Records(vec![record]));
+        if matches!(taken, register::Update::New | register::Update::Changed) {
+            self.broadcast(gossip::Message::Records(vec![record]));
         }
         Ok(())
     }
@@ -28,15 +28,15 @@
     }
 
     /// A backend server announced that it leaves.
-    pub fn server_left(&self, life: register::Life) {
+    pub fn server_left(&self, life: register::Instance) {
         let now = self.node.now();
-        let record = self.state().register.leave(now, life);
+        let record = self.state().register.mark_gone(now, life);
         let Some(record) = record else {
             return;
         };
         self.log_change(&record, true);
         self.pool.close_idle(&record.life);
-        self.broadcast(gossip::News::Records(vec![record]));
+        self.broadcast(gossip::Message::Records(vec![record]));
     }
 
     /// Merges a record into the register. `direct`: the server sent it to this process, not gossip.
@@ -44,26 +44,26 @@
         &self,
         record: register::Record,
         direct: bool,
-    ) -> Result<register::Taken, register::Refused> {
+    ) -> Result<register::Update, register::Rejection> {
         let now = self.node.now();
         let catalog = self.catalog();
         let is_named = catalog.is_none_or(|catalog| catalog.service(&record.service).is_some());
         let mut state = self.state();
         state.register.check(&record, is_named)?;
-        let taken = state.register.take(now, record.clone(), direct);
+        let taken = state.register.merge(now, record.clone(), direct);
         drop(state);
         match taken {
-            register::Taken::New => {
+            register::Update::New => {
                 self.availability_changed.notify_waiters();
                 log_event!(self.node.log(), Event::ServerKnown, "server" => &record.life,
                     "service" => &record.service, "addr" => record.addr, "zone" => &record.zone,
                     "seq" => record.seq, "direct" => direct);
             }
-            register::Taken::Changed => {
+            register::Update::Changed => {
                 self.log_change(&record, direct);
                 self.pool.close_idle(&record.life);
             }
-            register::Taken::Same | register::Taken::Stale => {}
+            register::Update::Same | register::Update::Stale => {}
         }
         Ok(taken)
     }
@@ -74,9 +74,9 @@
     }
 
     /// Sends nothing new to a backend server for a while, since it did not answer or died.
-    pub(crate) fn pause_server(&self, life: &register::Life, cause: &str) {
+    pub(crate) fn pause_server(&self, life: &register::Instance, cause: &str) {
         let now = self.node.now();
-        let until = self.state().healths.missed(now, life);
+        let until = self.state().healths.record_unreachable(now, life);
         self.pool.close_idle(life);
         if self.log_limiter.allow(Event::ServerOut, now) {
             log_event!(self.node.log(), Event::ServerOut, "server" => life, "cause" => cause,
@@ -85,17 +85,17 @@
     }
 
     /// Another instance answered at the address of `life`: the server restarted or was replaced.
-    pub(crate) fn server_displaced(&self, life: &register::Life) {
-        self.state().register.displaced(life);
+    pub(crate) fn server_displaced(&self, life: &register::Instance) {
+        self.state().register.mark_displaced(life);
         self.pool.close_idle(life);
         log_event!(self.node.log(), Event::ServerDisplaced, "server" => life);
     }
 
     /// A server died while it ran a request, which is a suspect from now on.
-    pub(crate) fn server_died(&self, request: id::Fingerprint, server: &register::Life) {
+    pub(crate) fn server_died(&self, request: id::Fingerprint, server: &register::Instance) {
         let now = self.node.now();
-        if self.state().suspects.died(now, request, server) {
-            self.broadcast(gossip::News::Died(request, server.clone()));
+        if self.state().suspects.record_death(now, request, server) {
+            self.broadcast(gossip::Message::Died(request, server.clone()));
             if self.log_limiter.allow(Event::RequestSuspect, now) {
                 log_event!(self.node.log(), Event::RequestSuspect, "server" => &server,
                     "fingerprint" => request.to_string());
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -13,10 +13,10 @@
 use tokio::time;
 
 use super::Direct;
-use crate::direct::board;
-use crate::direct::bulletin;
 use crate::direct::gossip;
-use crate::direct::roster;
+use crate::direct::load;
+use crate::direct::membership;
+use crate::direct::reporter;
 use crate::edge::event::Event;
 use crate::edge::node;
 use crate::log_event;
@@ -65,7 +65,7 @@
 
 /// A broadcast that is still to be repeated.
 struct Repeat {
-    news: gossip::News,
+    news: gossip::Message,
     queued_at: Duration,
     /// Index of the next delay in [`REPEATS`].
     next: usize,
@@ -82,7 +82,7 @@
     /// Whether the next load report holds all loads, not only those that changed.
     loads_whole: bool,
     /// Tracks the loads last reported.
-    bulletin: bulletin::Bulletin,
+    bulletin: reporter::Reporter,
     /// Whether a document is being fetched.
     fetching: Arc<AtomicBool>,
 }
@@ -98,7 +98,7 @@
         loads_sent_at: Duration::ZERO,
         loads_due: false,
         loads_whole: true,
-        bulletin: bulletin::Bulletin::default(),
+        bulletin: reporter::Reporter::default(),
         fetching: Arc::default(),
     };
     mesh.run().await;
@@ -199,7 +199,7 @@
             let state = self.direct.state();
             self.bulletin.next(&state.board, now, whole)
         };
-        let news = gossip::News::Loads {
+        let news = gossip::Message::Loads {
             whole: report.whole,
             loads: report.loads,
             waiting: report.waiting,
@@ -210,7 +210,7 @@
     /// Sends to all processes: directly within its own zone, and in each other zone to one process
     /// that relays it. Traffic between zones is expensive, and with six processes a zone this
     /// sends a sixth of it.
-    fn send_by_zone(&mut self, news: gossip::News) {
+    fn send_by_zone(&mut self, news: gossip::Message) {
         let own = self.direct.node.settings().zone.clone();
         let mut targets = Vec::new();
         let mut zones: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
@@ -276,17 +276,20 @@
         let seeds = self.direct.node.seeds();
         let (named, targets) = {
             let mut roster = self.direct.roster();
-            (roster.greeting(now), roster.targets(settings.link, &seeds))
+            (
+                roster.next_greeting(now),
+                roster.greeting_targets(settings.link, &seeds),
+            )
         };
-        self.send(gossip::News::Hello(named), &targets);
+        self.send(gossip::Message::Hello(named), &targets);
         if self.round.is_multiple_of(REFRESH_ROUNDS) {
-            let heard = self.direct.state().register.heard(now, RECORD_AGE);
-            for records in gossip::chunks(heard) {
-                self.send_all(gossip::News::Records(records));
+            let heard = self.direct.state().register.recent(now, RECORD_AGE);
+            for records in gossip::record_chunks(heard) {
+                self.send_all(gossip::Message::Records(records));
             }
-            let limits = self.direct.state().quotas.lately(now, RECORD_AGE);
-            for words in gossip::word_chunks(&limits) {
-                self.send_all(gossip::News::Limits(words));
+            let limits = self.direct.state().quotas.recent(now, RECORD_AGE);
+            for words in gossip::report_chunks(&limits) {
+                self.send_all(gossip::Message::Limits(words));
             }
         }
         self.loads_due = true;
@@ -298,12 +301,12 @@
     fn greet_seeds(&mut self) {
         let me = self.direct.node.settings().link;
         let seeds = self.direct.node.seeds();
-        let unheard = self.direct.roster().unheard(me, &seeds);
-        self.send(gossip::News::Hello(Vec::new()), &unheard);
+        let unheard = self.direct.roster().unheard_seeds(me, &seeds);
+        self.send(gossip::Message::Hello(Vec::new()), &unheard);
     }
 
     fn remove_silent_peers(&self, now: Duration) {
-        for (peer, silent) in self.direct.roster().lose(now) {
+        for (peer, silent) in self.direct.roster().expire(now) {
             log_event!(self.direct.node.log(), Event::PeerLost, "peer" => peer,
                 "silent_ms" => silent.as_millis() as u64);
         }
@@ -311,7 +314,7 @@
 
     fn peer_addrs(&self) -> Vec<SocketAddr> {
         let roster = self.direct.roster();
-        roster.present().map(|peer| peer.link).collect()
+        roster.live().map(|peer| peer.link).collect()
     }
 
     fn me(&self) -> gossip::Peer {
@@ -330,12 +333,12 @@
         }
     }
 
-    fn send_all(&mut self, news: gossip::News) {
+    fn send_all(&mut self, news: gossip::Message) {
         let peers = self.peer_addrs();
         self.send(news, &peers);
     }
 
-    fn send(&mut self, news: gossip::News, targets: &[SocketAddr]) {
+    fn send(&mut self, news: gossip::Message, targets: &[SocketAddr]) {
         self.seq += 1;
         let datagram = gossip::Datagram {
             from: self.me(),
@@ -358,41 +361,44 @@
         let from = datagram.from;
         self.see(now, &from);
         match datagram.news {
-            gossip::News::Hello(others) => {
+            gossip::Message::Hello(others) => {
                 let me = self.direct.node.settings().link;
-                let strangers = self.direct.roster().name(now, me, &others);
-                self.send(gossip::News::Hello(Vec::new()), &strangers);
+                let strangers = self.direct.roster().add_reported(now, me, &others);
+                self.send(gossip::Message::Hello(Vec::new()), &strangers);
             }
-            gossip::News::Records(records) => {
+            gossip::Message::Records(records) => {
                 for record in records {
                     // The process that received the heartbeat has logged and counted any error.
                     let _ = self.direct.apply_record(record, false);
                 }
             }
-            gossip::News::Loads {
+            gossip::Message::Loads {
                 whole,
                 loads,
                 waiting,
             } => {
-                let report = board::Told {
+                let report = load::Report {
                     whole,
                     loads,
                     waiting,
                 };
                 let board = &mut self.direct.state().board;
-                board.told(now, from.link, from.life, datagram.seq, report);
+                board.apply(now, from.link, from.life, datagram.seq, report);
             }
-            gossip::News::Paces(paces) => self.direct.apply_paces(&paces),
-            gossip::News::Died(request, server) => {
-                self.direct.state().suspects.died(now, request, &server);
+            gossip::Message::Paces(paces) => self.direct.apply_paces(&paces),
+            gossip::Message::Died(request, server) => {
+                self.direct
+                    .state()
+                    .suspects
+                    .record_death(now, request, &server);
             }
-            gossip::News::Limits(words) => self.direct.take_words(&words),
-            gossip::News::Ask(ask) => {
-                let grant = self.direct.grant_asked(&ask);
-                self.send(gossip::News::Grant(grant), &[from.link]);
+            gossip::Message::Limits(words) => self.direct.receive_limit_reports(&words),
+            gossip::Message::Ask(ask) => {
+                let grant = self.direct.answer_grant_request(&ask);
+                self.send(gossip::Message::Grant(grant), &[from.link]);
             }
-            gossip::News::Grant(grant) => self.direct.take_grant(grant),
-            gossip::News::Charged(server) => self.direct.take_charge(server),
+            gossip::Message::Grant(grant) => self.direct.receive_grant(grant),
+            gossip::Message::Charged(server) => self.direct.receive_charge(server),
         }
         if from.version > self.direct.node.documents().version() {
             self.fetch_document(from.link);
@@ -400,7 +406,7 @@
     }
 
     fn see(&mut self, now: Duration, from: &gossip::Peer) {
-        let is_new = self.direct.roster().see(now, from);
+        let is_new = self.direct.roster().observe(now, from);
         if is_new {
             self.welcome(now, from.link);
             log_event!(self.direct.node.log(), Event::PeerSeen, "peer" => from.link,
@@ -411,14 +417,14 @@
     /// Sends a new process what it cannot know yet: peers, records, limits and all loads.
     fn welcome(&mut self, now: Duration, addr: SocketAddr) {
         let peers = self.peer_addrs();
-        self.send(gossip::News::Hello(peers), &[addr]);
-        let heard = self.direct.state().register.heard(now, RECORD_AGE);
-        for records in gossip::chunks(heard) {
-            self.send(gossip::News::Records(records), &[addr]);
+        self.send(gossip::Message::Hello(peers), &[addr]);
+        let heard = self.direct.state().register.recent(now, RECORD_AGE);
+        for records in gossip::record_chunks(heard) {
+            self.send(gossip::Message::Records(records), &[addr]);
         }
-        let limits = self.direct.state().quotas.words();
-        for words in gossip::word_chunks(&limits) {
-            self.send(gossip::News::Limits(words), &[addr]);
+        let limits = self.direct.state().quotas.reports();
+        for words in gossip::report_chunks(&limits) {
+            self.send(gossip::Message::Limits(words), &[addr]);
         }
         self.loads_due = true;
         self.loads_whole = true;
@@ -452,14 +458,14 @@
 
 impl Direct {
     /// Locks the membership: the other processes known here.
-    pub(super) fn roster(&self) -> MutexGuard<'_, roster::Roster> {
+    pub(super) fn roster(&self) -> MutexGuard<'_, membership::Membership> {
         self.roster.lock().expect("roster lock")
     }
 
     /// Other processes heard recently, by link address.
     pub fn peers(&self) -> HashMap<SocketAddr, gossip::Peer> {
         let roster = self.roster();
-        let present = roster.present();
+        let present = roster.live();
         present.map(|peer| (peer.link, peer.clone())).collect()
     }
 }
--- a/src/edge/direct/pool.rs
+++ b/src/edge/direct/pool.rs
@@ -123,14 +123,14 @@
 /// Idle connections by server instance.
 #[derive(Default)]
 pub struct Pool {
-    idle: Mutex<HashMap<register::Life, Vec<Idle>>>,
+    idle: Mutex<HashMap<register::Instance, Vec<Idle>>>,
 }
 
 impl Pool {
     /// A connection to a server: an idle one if there is one and `reuse` allows it, else a new one.
     pub async fn conn(
         &self,
-        life: &register::Life,
+        life: &register::Instance,
         addr: SocketAddr,
         reuse: bool,
     ) -> io::Result<Conn> {
@@ -140,7 +140,7 @@
         Conn::open(addr).await
     }
 
-    fn take(&self, life: &register::Life) -> Option<Conn> {
+    fn take(&self, life: &register::Instance) -> Option<Conn> {
         let now = Instant::now();
         let mut idle = self.idle.lock().expect("pool lock");
         let conns = idle.get_mut(life)?;
@@ -157,7 +157,13 @@
 
     /// Keeps a connection whose last response was read completely. `allowed`: time that the server
     /// leaves it idle. `max`: see [`max_idle`].
-    pub fn keep(&self, life: &register::Life, conn: Conn, allowed: Option<Duration>, max: usize) {
+    pub fn keep(
+        &self,
+        life: &register::Instance,
+        conn: Conn,
+        allowed: Option<Duration>,
+        max: usize,
+    ) {
         let timeout = allowed.map_or(IDLE_TIMEOUT, |allowed| {
             allowed.mul_f64(IDLE_TIMEOUT_SHARE).min(IDLE_TIMEOUT)
         });
@@ -180,7 +186,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn close_idle(&self, life: &register::Life) {
+    pub fn close_idle(&self, life: &register::Instance) {
         self.idle.lock().expect("pool lock").remove(life);
     }
 }
--- a/src/edge/direct/probe.rs
+++ b/src/edge/direct/probe.rs
@@ -52,7 +52,9 @@
     ) {
         if self.state().is_limited(&server.life) {
             let now = self.node.now();
-            self.state().healths.answered(now, &server.life, false);
+            self.state()
+                .healths
+                .record_response(now, &server.life, false);
             return;
         }
         let direct = Arc::clone(self);
@@ -62,7 +64,10 @@
                 direct.server_died(fingerprint, &server.life);
             } else {
                 let now = direct.node.now();
-                direct.state().healths.answered(now, &server.life, false);
+                direct
+                    .state()
+                    .healths
+                    .record_response(now, &server.life, false);
             }
         });
     }
@@ -88,7 +93,7 @@
                 .header(http::header::HOST, server.addr.to_string())
                 .body(Full::new(Bytes::new()))
                 .ok()?;
-            let sent_at = self.sent(&server.life, tally::Kind::Probe);
+            let sent_at = self.record_sent(&server.life, tally::Kind::Probe);
             let response = conn.send(request).await.ok()?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, 64 << 10);
@@ -97,12 +102,12 @@
             Some((report, sent_at, head.headers))
         };
         let (report, sent_at, headers) = time::timeout(PROBE_TIMEOUT, probing).await.ok()??;
-        if !server.life.may_be(report.born) {
+        if !server.life.may_match(report.started_ms) {
             return None;
         }
-        self.take_limit(&server.life, sent_at, &headers, quota::Source::Other);
+        self.observe_limit(&server.life, sent_at, &headers, quota::Source::Other);
         if report.pace > 0.0 {
-            self.state().healths.paced(&server.life, report.pace);
+            self.state().healths.set_pace(&server.life, report.pace);
         }
         Some(report)
     }
--- a/src/edge/direct/span.rs
+++ b/src/edge/direct/span.rs
@@ -8,7 +8,7 @@
 
 use super::Direct;
 use super::progress;
-use crate::direct::verdict;
+use crate::direct::retry;
 use crate::edge::event::Event;
 use crate::log_event;
 
@@ -68,12 +68,12 @@
 
     /// Events were passed on.
     pub(super) fn passed(&mut self, events: u32) {
-        let mut mark = self.progress.mark();
-        if mark.events > 0 {
+        let mut state = self.progress.lock();
+        if state.events > 0 {
             self.pause = self.pause.max(self.last.elapsed());
         }
         self.last = Instant::now();
-        mark.events += events;
+        state.events += events;
     }
 
     /// It was answered, or refused.
@@ -92,7 +92,7 @@
     }
 
     /// Its answer broke off.
-    pub(super) fn cut(&mut self, lost: &verdict::End) {
+    pub(super) fn cut(&mut self, lost: &retry::Failure) {
         self.ended = true;
         let took = self.began.elapsed();
         self.direct.counts.request_ended(&self.service, "cut", took);
@@ -107,7 +107,7 @@
         let first = self.first.map_or(0, |one| one.as_millis() as u64);
         let whole = self.began.elapsed().as_millis() as u64;
         log_event!(self.direct.node.log(), event, "request" => &self.id, "status" => status,
-            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.mark().events,
+            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.lock().events,
             "pause_ms" => self.pause.as_millis() as u64);
     }
 }
@@ -115,7 +115,7 @@
 impl Drop for Span {
     fn drop(&mut self) {
         self.direct.progress.remove(self.number);
-        if !self.ended && !self.progress.mark().is_cut {
+        if !self.ended && !self.progress.lock().is_cut {
             let took = self.began.elapsed();
             self.direct
                 .counts
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::Direct;
-use super::course::Course;
-use crate::direct::board;
+use super::context::Context;
+use crate::direct::load;
 use crate::direct::place;
 use crate::edge::event::Event;
 use crate::log_event;
@@ -21,7 +21,7 @@
 /// A long prompt's place in the line of those that wait, given back when it is dropped.
 pub(super) struct Turn {
     direct: Arc<Direct>,
-    ticket: Option<board::Ticket>,
+    ticket: Option<load::Ticket>,
     rank: u32,
 }
 
@@ -35,28 +35,28 @@
     }
 
     /// Whether none that waits goes before it.
-    pub(super) fn has_come(&self, course: &Course) -> bool {
+    pub(super) fn has_come(&self, context: &Context) -> bool {
         let now = self.direct.node.now();
-        let need = course.need();
-        let Some(engine) = course.engine.filter(|one| place::is_long(one, &need)) else {
+        let need = context.need();
+        let Some(engine) = context.engine.filter(|one| place::is_long(one, &need)) else {
             return true;
         };
         let state = self.direct.state();
         match self.ticket {
             Some(ticket) => state.board.is_first(now, ticket, self.rank),
-            None => state.board.ahead(now, course.wait().rank(&engine, &need)) == 0,
+            None => state.board.ahead(now, context.wait().rank(&engine, &need)) == 0,
         }
     }
 
     /// Takes its place, or keeps it with a better rank.
-    pub(super) fn wait(&mut self, course: &Course) {
-        let Some(engine) = &course.engine else {
+    pub(super) fn wait(&mut self, context: &Context) {
+        let Some(engine) = &context.engine else {
             return;
         };
-        self.rank = course.wait().rank(engine, &course.need());
+        self.rank = context.wait().rank(engine, &context.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
-        self.ticket = Some(state.board.wait(self.ticket, self.rank));
+        self.ticket = Some(state.board.enqueue(self.ticket, self.rank));
         let now = self.direct.node.now();
         let ahead = state.board.ahead(now, self.rank);
         drop(state);
@@ -65,9 +65,9 @@
         }
         self.direct.loads_changed.notify_one();
         if self.direct.log_limiter.allow(Event::RequestWaits, now) {
-            log_event!(self.direct.node.log(), Event::RequestWaits, "request" => &course.ask.id,
-                "prompt" => course.need().prompt, "rank" => self.rank, "ahead" => ahead,
-                "left_ms" => course.left().as_millis() as u64);
+            log_event!(self.direct.node.log(), Event::RequestWaits, "request" => &context.request.id,
+                "prompt" => context.need().prompt, "rank" => self.rank, "ahead" => ahead,
+                "left_ms" => context.time_left().as_millis() as u64);
         }
     }
 
@@ -83,7 +83,7 @@
     /// Gives its place in the line back.
     pub(super) fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.direct.state().board.stop_waiting(ticket);
+            self.direct.state().board.dequeue(ticket);
             self.direct.loads_changed.notify_one();
         }
     }
