--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -87,9 +87,9 @@
     /// Budget for retries.
     pub budget: budget::Budget,
     /// Load of each backend server, from all entries.
-    pub board: load::Table,
+    pub loads: load::Table,
     /// Share of recent time in which long prompts waited.
-    pub pressure: congestion::Congestion,
+    pub congestion: congestion::Congestion,
     /// Request limits that backend servers announce.
     pub quotas: quota::Quotas,
     /// Counts of what was recently sent to backend servers.
@@ -101,8 +101,8 @@
 impl State {
     /// Samples whether a long prompt waits now.
     pub fn observe_congestion(&mut self, now: Duration) {
-        let waits = self.board.has_waiting(now);
-        self.pressure.observe(now, waits);
+        let waits = self.loads.has_waiting(now);
+        self.congestion.observe(now, waits);
     }
 }
 
@@ -116,7 +116,7 @@
     confirmed: watch::Sender<Option<u64>>,
     state: Mutex<State>,
     pool: pool::Pool,
-    roster: Mutex<membership::Membership>,
+    membership: Mutex<membership::Membership>,
     log_limiter: log_limit::Limiter,
     counts: count::Counts,
     /// Requests in progress.
@@ -148,8 +148,8 @@
             healths: health::Health::default(),
             suspects: health::Suspects::default(),
             budget: budget::Budget::new(settings.retries),
-            board: load::Table::default(),
-            pressure: congestion::Congestion::default(),
+            loads: load::Table::default(),
+            congestion: congestion::Congestion::default(),
             quotas: quota::Quotas::default(),
             tally: tally::Tally::default(),
             writing: writing::Writing::default(),
@@ -161,7 +161,7 @@
             confirmed: watch::Sender::new(None),
             state: Mutex::new(state),
             pool: pool::Pool::default(),
-            roster: Mutex::default(),
+            membership: Mutex::default(),
             log_limiter: log_limit::Limiter::default(),
             counts: count::Counts::new(node.metrics()),
             progress: progress::Table::default(),
@@ -314,23 +314,26 @@
     }
 
     /// Sends a message to all other processes at once, with repeats against loss.
-    pub(crate) fn broadcast(&self, news: gossip::Message) {
-        self.broadcasts.lock().expect("broadcasts lock").push(news);
+    pub(crate) fn broadcast(&self, message: gossip::Message) {
+        self.broadcasts
+            .lock()
+            .expect("broadcasts lock")
+            .push(message);
         self.message_queued.notify_one();
     }
 
     /// Sends a message to one other process at once, without repeats.
-    pub(crate) fn send_to(&self, to: SocketAddr, news: gossip::Message) {
+    pub(crate) fn send_to(&self, to: SocketAddr, message: gossip::Message) {
         self.unicasts
             .lock()
             .expect("unicasts lock")
-            .push((to, news));
+            .push((to, message));
         self.message_queued.notify_one();
     }
 
     /// Number of processes that accept callers' requests, including this one.
     pub(crate) fn entry_count(&self) -> usize {
-        let known = 1 + self.roster().all().filter(|peer| peer.serves).count();
+        let known = 1 + self.membership().all().filter(|peer| peer.serves).count();
         // A process that has just restarted knows few other entries, or none.
         if !self.settings.first_start && self.node.now() < DISCOVERY_TIME {
             return known.max(ASSUMED_ENTRIES);
@@ -360,7 +363,7 @@
         let State {
             register, healths, ..
         } = &mut *state;
-        healths.retain(|life| register.get(life).is_some());
+        healths.retain(|instance| register.get(instance).is_some());
         drop(state);
         self.prune_limits();
     }
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -63,7 +63,7 @@
 impl Guard {
     /// The first event came.
     pub fn start_writing(&self) {
-        self.direct.state().board.start_writing(self.ticket);
+        self.direct.state().loads.start_writing(self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -71,7 +71,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         let now = self.direct.node.now();
-        self.direct.state().board.remove(now, self.ticket);
+        self.direct.state().loads.remove(now, self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -101,7 +101,7 @@
             return Choice::Nowhere;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.has_waiting(now);
+        let any_waits = state.loads.has_waiting(now);
         let placed = match reading {
             Reading::Lane => locate(context, &servers, any_waits),
             Reading::Beside => beside(context, &servers, any_waits),
@@ -163,7 +163,7 @@
             reads: (now, now + deadline::millis(place.first_ms)),
         };
         let limit = state.quotas.limit(servers[place.writer].key);
-        let ticket = state.board.insert(now, claim);
+        let ticket = state.loads.insert(now, claim);
         drop(state);
         self.loads_changed.notify_one();
         let guard = Guard {
@@ -207,7 +207,7 @@
             return false;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let any_waits = state.board.has_waiting(now);
+        let any_waits = state.loads.has_waiting(now);
         let writing = context.write_time_bound(&state.writing);
         drop(state);
         let place = locate(context, &servers, any_waits);
@@ -231,7 +231,7 @@
         part: subset::Subset,
     ) -> Vec<place::Server> {
         let zone = &self.node.settings().zone;
-        let view = state.board.view_subset(now, part);
+        let view = state.loads.view_subset(now, part);
         let server = |one: &register::Record| {
             let key = load::server_key(&one.life);
             place::Server {
@@ -260,7 +260,9 @@
         let mut state = self.state();
         state.observe_congestion(now);
         let servers = state.register.ready(now, &context.service).count();
-        let away = state.pressure.rejection(&engine, &need, objective, servers);
+        let away = state
+            .congestion
+            .rejection(&engine, &need, objective, servers);
         drop(state);
         let Some(away) = away else {
             return false;
--- a/src/edge/direct/electorate.rs
+++ b/src/edge/direct/electorate.rs
@@ -16,7 +16,7 @@
     /// Gives the control role the processes that may vote, and makes them this process's view.
     pub(super) fn update_control(&self, now: Duration) {
         let node = &self.node;
-        let voters = self.roster().voters();
+        let voters = self.membership().voters();
         if let Some(control) = node.control() {
             let known = voters.iter().map(|peer| peer.link).collect();
             control.know(known, self.founders(now, &voters));
@@ -44,8 +44,8 @@
         }
         let me = self.node.settings().link;
         let seeds = self.node.seeds();
-        let roster = self.roster();
-        let is_present = |addr: &SocketAddr| *addr == me || roster.contains(addr);
+        let membership = self.membership();
+        let is_present = |addr: &SocketAddr| *addr == me || membership.contains(addr);
         if !seeds.iter().all(is_present) {
             return None;
         }
--- a/src/edge/direct/eligibility.rs
+++ b/src/edge/direct/eligibility.rs
@@ -82,10 +82,16 @@
     let all: Vec<&register::Record> = all
         .filter(|record| !state.is_limited(&record.life))
         .collect();
-    let is_untried = |record: &&&register::Record| !context.failed_servers.contains(&record.life);
-    let untried: Vec<register::Record> = all.iter().filter(is_untried).copied().cloned().collect();
-    if !untried.is_empty() {
-        return untried;
+    let has_not_failed =
+        |record: &&&register::Record| !context.failed_servers.contains(&record.life);
+    let not_failed: Vec<register::Record> = all
+        .iter()
+        .filter(has_not_failed)
+        .copied()
+        .cloned()
+        .collect();
+    if !not_failed.is_empty() {
+        return not_failed;
     }
     all.into_iter().cloned().collect()
 }
@@ -112,7 +118,7 @@
     all.into_iter().map(|(record, _)| record.clone()).collect()
 }
 
-/// Whether a server was heard recently, is not paused, and was not tried by this request before.
+/// Whether a server was heard recently, is not paused, and did not fail this request before.
 fn is_healthy(
     state: &super::State,
     now: Duration,
@@ -120,6 +126,6 @@
     server: &register::Record,
     age: Duration,
 ) -> bool {
-    let is_untried = !context.failed_servers.contains(&server.life);
-    age < HEARTBEAT_TIMEOUT && is_untried && !state.healths.is_paused(now, &server.life)
+    let has_not_failed = !context.failed_servers.contains(&server.life);
+    age < HEARTBEAT_TIMEOUT && has_not_failed && !state.healths.is_paused(now, &server.life)
 }
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -286,7 +286,7 @@
     /// Entries in the order in which they grant for a service.
     fn grantors(&self, service: &str) -> Vec<SocketAddr> {
         let mut entries: Vec<SocketAddr> = {
-            let roster = self.roster();
+            let roster = self.membership();
             let all = roster.all().filter(|one| one.serves);
             all.map(|one| one.link).collect()
         };
--- a/src/edge/direct/health_check.rs
+++ b/src/edge/direct/health_check.rs
@@ -90,19 +90,19 @@
     pub(super) fn apply_paces(&self, paces: &[(u64, u16)]) {
         let known: Vec<(register::Instance, u16)> = {
             let state = self.state();
-            let life = |key: u64| state.register.instance(key).cloned();
+            let instance = |key: u64| state.register.instance(key).cloned();
             let paces = paces.iter();
             paces
-                .filter_map(|(key, pace)| Some((life(*key)?, *pace)))
+                .filter_map(|(key, pace)| Some((instance(*key)?, *pace)))
                 .collect()
         };
-        for (life, pace) in known {
+        for (instance, pace) in known {
             if pace == UNRESPONSIVE {
-                self.pause_server(&life, "another entry reports no response");
+                self.pause_server(&instance, "another entry reports no response");
             } else {
                 self.state()
                     .healths
-                    .set_pace(&life, f64::from(pace) / 100.0);
+                    .set_pace(&instance, f64::from(pace) / 100.0);
             }
         }
     }
--- a/src/edge/direct/heartbeat.rs
+++ b/src/edge/direct/heartbeat.rs
@@ -28,9 +28,9 @@
     }
 
     /// A backend server announced that it leaves.
-    pub fn server_left(&self, life: register::Instance) {
+    pub fn server_left(&self, instance: register::Instance) {
         let now = self.node.now();
-        let record = self.state().register.mark_gone(now, life);
+        let record = self.state().register.mark_gone(now, instance);
         let Some(record) = record else {
             return;
         };
@@ -74,21 +74,21 @@
     }
 
     /// Sends nothing new to a backend server for a while, since it did not answer or died.
-    pub(crate) fn pause_server(&self, life: &register::Instance, cause: &str) {
+    pub(crate) fn pause_server(&self, instance: &register::Instance, cause: &str) {
         let now = self.node.now();
-        let until = self.state().healths.record_unreachable(now, life);
-        self.pool.close_idle(life);
+        let until = self.state().healths.record_unreachable(now, instance);
+        self.pool.close_idle(instance);
         if self.log_limiter.allow(Event::ServerOut, now) {
-            log_event!(self.node.log(), Event::ServerOut, "server" => life, "cause" => cause,
+            log_event!(self.node.log(), Event::ServerOut, "server" => instance, "cause" => cause,
                 "pause_ms" => until.saturating_sub(now).as_millis() as u64);
         }
     }
 
-    /// Another instance answered at the address of `life`: the server restarted or was replaced.
-    pub(crate) fn server_displaced(&self, life: &register::Instance) {
-        self.state().register.mark_displaced(life);
-        self.pool.close_idle(life);
-        log_event!(self.node.log(), Event::ServerDisplaced, "server" => life);
+    /// Another instance answers at the address of `instance`: the server restarted or was replaced.
+    pub(crate) fn server_displaced(&self, instance: &register::Instance) {
+        self.state().register.mark_displaced(instance);
+        self.pool.close_idle(instance);
+        log_event!(self.node.log(), Event::ServerDisplaced, "server" => instance);
     }
 
     /// A server died while it ran a request, which is a suspect from now on.
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -58,14 +58,14 @@
 ];
 
 /// Timeout for fetching a document from another process.
-const PULL_TIMEOUT: Duration = Duration::from_millis(1_200);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Largest datagram received.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 /// A broadcast that is still to be repeated.
 struct Repeat {
-    news: gossip::Message,
+    message: gossip::Message,
     queued_at: Duration,
     /// Index of the next delay in [`REPEATS`].
     next: usize,
@@ -82,7 +82,7 @@
     /// Whether the next load report holds all loads, not only those that changed.
     loads_whole: bool,
     /// Tracks the loads last reported.
-    bulletin: reporter::Reporter,
+    reporter: reporter::Reporter,
     /// Whether a document is being fetched.
     fetching: Arc<AtomicBool>,
 }
@@ -98,7 +98,7 @@
         loads_sent_at: Duration::ZERO,
         loads_due: false,
         loads_whole: true,
-        bulletin: reporter::Reporter::default(),
+        reporter: reporter::Reporter::default(),
         fetching: Arc::default(),
     };
     mesh.run().await;
@@ -147,7 +147,7 @@
     }
 
     fn loads_pause(&self) -> Duration {
-        let peers = self.direct.roster().len();
+        let peers = self.direct.membership().len();
         LOADS_PAUSE + LOADS_PAUSE_EACH * peers as u32
     }
 
@@ -159,28 +159,28 @@
         let mut due = Vec::new();
         self.repeats.retain_mut(|repeat| {
             while repeat.next < REPEATS.len() && now >= repeat.queued_at + REPEATS[repeat.next] {
-                if repeat.next == 0 || due.last() != Some(&repeat.news) {
-                    due.push(repeat.news.clone());
+                if repeat.next == 0 || due.last() != Some(&repeat.message) {
+                    due.push(repeat.message.clone());
                 }
                 repeat.next += 1;
             }
             repeat.next < REPEATS.len()
         });
-        for news in due {
-            self.send_all(news);
+        for message in due {
+            self.send_all(message);
         }
     }
 
     fn send_queued(&mut self) {
         let queued_at = self.direct.node.now();
         let unicasts = std::mem::take(&mut *self.direct.unicasts.lock().expect("unicasts lock"));
-        for (to, news) in unicasts {
-            self.send(news, &[to]);
+        for (to, message) in unicasts {
+            self.send(message, &[to]);
         }
         let broadcasts =
             std::mem::take(&mut *self.direct.broadcasts.lock().expect("broadcasts lock"));
-        let repeats = broadcasts.into_iter().map(|news| Repeat {
-            news,
+        let repeats = broadcasts.into_iter().map(|message| Repeat {
+            message,
             queued_at,
             next: 0,
         });
@@ -197,20 +197,20 @@
         let whole = std::mem::take(&mut self.loads_whole);
         let report = {
             let state = self.direct.state();
-            self.bulletin.next(&state.board, now, whole)
+            self.reporter.next(&state.loads, now, whole)
         };
-        let news = gossip::Message::Loads {
+        let message = gossip::Message::Loads {
             whole: report.whole,
             loads: report.loads,
             waiting: report.waiting,
         };
-        self.send_by_zone(news);
+        self.send_by_zone(message);
     }
 
     /// Sends to all processes: directly within its own zone, and in each other zone to one process
     /// that relays it. Traffic between zones is expensive, and with six processes a zone this
     /// sends a sixth of it.
-    fn send_by_zone(&mut self, news: gossip::Message) {
+    fn send_by_zone(&mut self, message: gossip::Message) {
         let own = self.direct.node.settings().zone.clone();
         let mut targets = Vec::new();
         let mut zones: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
@@ -236,7 +236,7 @@
             from: self.me(),
             seq: self.seq,
             relay: false,
-            news,
+            news: message,
         };
         self.send_datagram(&datagram, &targets);
         datagram.relay = true;
@@ -275,10 +275,10 @@
         let settings = self.direct.node.settings();
         let seeds = self.direct.node.seeds();
         let (named, targets) = {
-            let mut roster = self.direct.roster();
+            let mut membership = self.direct.membership();
             (
-                roster.next_greeting(now),
-                roster.greeting_targets(settings.link, &seeds),
+                membership.next_greeting(now),
+                membership.greeting_targets(settings.link, &seeds),
             )
         };
         self.send(gossip::Message::Hello(named), &targets);
@@ -288,8 +288,8 @@
                 self.send_all(gossip::Message::Records(records));
             }
             let limits = self.direct.state().quotas.recent(now, RECORD_AGE);
-            for words in gossip::report_chunks(&limits) {
-                self.send_all(gossip::Message::Limits(words));
+            for reports in gossip::report_chunks(&limits) {
+                self.send_all(gossip::Message::Limits(reports));
             }
         }
         self.loads_due = true;
@@ -301,20 +301,20 @@
     fn greet_seeds(&mut self) {
         let me = self.direct.node.settings().link;
         let seeds = self.direct.node.seeds();
-        let unheard = self.direct.roster().unheard_seeds(me, &seeds);
+        let unheard = self.direct.membership().unheard_seeds(me, &seeds);
         self.send(gossip::Message::Hello(Vec::new()), &unheard);
     }
 
     fn remove_silent_peers(&self, now: Duration) {
-        for (peer, silent) in self.direct.roster().expire(now) {
+        for (peer, silent) in self.direct.membership().expire(now) {
             log_event!(self.direct.node.log(), Event::PeerLost, "peer" => peer,
                 "silent_ms" => silent.as_millis() as u64);
         }
     }
 
     fn peer_addrs(&self) -> Vec<SocketAddr> {
-        let roster = self.direct.roster();
-        roster.live().map(|peer| peer.link).collect()
+        let membership = self.direct.membership();
+        membership.live().map(|peer| peer.link).collect()
     }
 
     fn me(&self) -> gossip::Peer {
@@ -333,18 +333,18 @@
         }
     }
 
-    fn send_all(&mut self, news: gossip::Message) {
+    fn send_all(&mut self, message: gossip::Message) {
         let peers = self.peer_addrs();
-        self.send(news, &peers);
+        self.send(message, &peers);
     }
 
-    fn send(&mut self, news: gossip::Message, targets: &[SocketAddr]) {
+    fn send(&mut self, message: gossip::Message, targets: &[SocketAddr]) {
         self.seq += 1;
         let datagram = gossip::Datagram {
             from: self.me(),
             seq: self.seq,
             relay: false,
-            news,
+            news: message,
         };
         self.send_datagram(&datagram, targets);
     }
@@ -359,12 +359,12 @@
             self.relay(&datagram);
         }
         let from = datagram.from;
-        self.see(now, &from);
+        self.observe_peer(now, &from);
         match datagram.news {
             gossip::Message::Hello(others) => {
                 let me = self.direct.node.settings().link;
-                let strangers = self.direct.roster().add_reported(now, me, &others);
-                self.send(gossip::Message::Hello(Vec::new()), &strangers);
+                let unknown = self.direct.membership().add_reported(now, me, &others);
+                self.send(gossip::Message::Hello(Vec::new()), &unknown);
             }
             gossip::Message::Records(records) => {
                 for record in records {
@@ -382,8 +382,8 @@
                     loads,
                     waiting,
                 };
-                let board = &mut self.direct.state().board;
-                board.apply(now, from.link, from.life, datagram.seq, report);
+                let table = &mut self.direct.state().loads;
+                table.apply(now, from.link, from.life, datagram.seq, report);
             }
             gossip::Message::Paces(paces) => self.direct.apply_paces(&paces),
             gossip::Message::Died(request, server) => {
@@ -392,7 +392,7 @@
                     .suspects
                     .record_death(now, request, &server);
             }
-            gossip::Message::Limits(words) => self.direct.receive_limit_reports(&words),
+            gossip::Message::Limits(reports) => self.direct.receive_limit_reports(&reports),
             gossip::Message::Ask(ask) => {
                 let grant = self.direct.answer_grant_request(&ask);
                 self.send(gossip::Message::Grant(grant), &[from.link]);
@@ -405,8 +405,8 @@
         }
     }
 
-    fn see(&mut self, now: Duration, from: &gossip::Peer) {
-        let is_new = self.direct.roster().observe(now, from);
+    fn observe_peer(&mut self, now: Duration, from: &gossip::Peer) {
+        let is_new = self.direct.membership().observe(now, from);
         if is_new {
             self.welcome(now, from.link);
             log_event!(self.direct.node.log(), Event::PeerSeen, "peer" => from.link,
@@ -423,8 +423,8 @@
             self.send(gossip::Message::Records(records), &[addr]);
         }
         let limits = self.direct.state().quotas.reports();
-        for words in gossip::report_chunks(&limits) {
-            self.send(gossip::Message::Limits(words), &[addr]);
+        for reports in gossip::report_chunks(&limits) {
+            self.send(gossip::Message::Limits(reports), &[addr]);
         }
         self.loads_due = true;
         self.loads_whole = true;
@@ -450,7 +450,8 @@
         have: node.documents().version(),
     };
     // If this fails, the next datagram of a process with a newer document starts another fetch.
-    if let Ok(rpc::Answer::Document(Some(document))) = node.link(from).ask(&ask, PULL_TIMEOUT).await
+    if let Ok(rpc::Answer::Document(Some(document))) =
+        node.link(from).ask(&ask, FETCH_TIMEOUT).await
     {
         node.documents().install(document);
     }
@@ -458,14 +459,14 @@
 
 impl Direct {
     /// Locks the membership: the other processes known here.
-    pub(super) fn roster(&self) -> MutexGuard<'_, membership::Membership> {
-        self.roster.lock().expect("roster lock")
+    pub(super) fn membership(&self) -> MutexGuard<'_, membership::Membership> {
+        self.membership.lock().expect("membership lock")
     }
 
     /// Other processes heard recently, by link address.
     pub fn peers(&self) -> HashMap<SocketAddr, gossip::Peer> {
-        let roster = self.roster();
-        let present = roster.live();
+        let membership = self.membership();
+        let present = membership.live();
         present.map(|peer| (peer.link, peer.clone())).collect()
     }
 }
--- a/src/edge/direct/pool.rs
+++ b/src/edge/direct/pool.rs
@@ -130,20 +130,20 @@
     /// A connection to a server: an idle one if there is one and `reuse` allows it, else a new one.
     pub async fn conn(
         &self,
-        life: &register::Instance,
+        instance: &register::Instance,
         addr: SocketAddr,
         reuse: bool,
     ) -> io::Result<Conn> {
-        if reuse && let Some(conn) = self.take(life) {
+        if reuse && let Some(conn) = self.take(instance) {
             return Ok(conn);
         }
         Conn::open(addr).await
     }
 
-    fn take(&self, life: &register::Instance) -> Option<Conn> {
+    fn take(&self, instance: &register::Instance) -> Option<Conn> {
         let now = Instant::now();
         let mut idle = self.idle.lock().expect("pool lock");
-        let conns = idle.get_mut(life)?;
+        let conns = idle.get_mut(instance)?;
         while let Some(kept) = conns.pop() {
             if now < kept.expires_at
                 && !kept.conn.sender.is_closed()
@@ -159,7 +159,7 @@
     /// leaves it idle. `max`: see [`max_idle`].
     pub fn keep(
         &self,
-        life: &register::Instance,
+        instance: &register::Instance,
         conn: Conn,
         allowed: Option<Duration>,
         max: usize,
@@ -169,7 +169,7 @@
         });
         let expires_at = Instant::now() + timeout;
         let mut idle = self.idle.lock().expect("pool lock");
-        let conns = idle.entry(life.clone()).or_default();
+        let conns = idle.entry(instance.clone()).or_default();
         if conns.len() < max {
             conns.push(Idle { conn, expires_at });
         }
@@ -186,7 +186,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn close_idle(&self, life: &register::Instance) {
-        self.idle.lock().expect("pool lock").remove(life);
+    pub fn close_idle(&self, instance: &register::Instance) {
+        self.idle.lock().expect("pool lock").remove(instance);
     }
 }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -43,8 +43,8 @@
         };
         let state = self.direct.state();
         match self.ticket {
-            Some(ticket) => state.board.is_first(now, ticket, self.rank),
-            None => state.board.ahead(now, context.wait().rank(&engine, &need)) == 0,
+            Some(ticket) => state.loads.is_first(now, ticket, self.rank),
+            None => state.loads.ahead(now, context.wait().rank(&engine, &need)) == 0,
         }
     }
 
@@ -56,9 +56,9 @@
         self.rank = context.wait().rank(engine, &context.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
-        self.ticket = Some(state.board.enqueue(self.ticket, self.rank));
+        self.ticket = Some(state.loads.enqueue(self.ticket, self.rank));
         let now = self.direct.node.now();
-        let ahead = state.board.ahead(now, self.rank);
+        let ahead = state.loads.ahead(now, self.rank);
         drop(state);
         if !is_new {
             return;
@@ -83,7 +83,7 @@
     /// Gives its place in the line back.
     pub(super) fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.direct.state().board.dequeue(ticket);
+            self.direct.state().loads.dequeue(ticket);
             self.direct.loads_changed.notify_one();
         }
     }
