--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -64,7 +64,7 @@
 impl Guard {
     /// Records that the first event arrived: the prompt is read, the response is being generated.
     pub fn start_writing(&self) {
-        self.direct.state().board.start_writing(self.ticket);
+        self.direct.state().loads.start_writing(self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -72,7 +72,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         let now = self.direct.node.now();
-        self.direct.state().board.remove(now, self.ticket);
+        self.direct.state().loads.remove(now, self.ticket);
         self.direct.loads_changed.notify_one();
     }
 }
@@ -102,7 +102,7 @@
             return Choice::NoServer;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let has_waiting = state.board.has_waiting(now);
+        let has_waiting = state.loads.has_waiting(now);
         let placed = match reading {
             Reading::InTurn => find(context, &servers, has_waiting),
             Reading::WithoutTurn => find_without_turn(context, &servers, has_waiting),
@@ -164,7 +164,7 @@
             reads: (now, now + deadline::millis(place.first_ms)),
         };
         let limit = state.quotas.limit(servers[place.writer].key);
-        let ticket = state.board.insert(now, claim);
+        let ticket = state.loads.insert(now, claim);
         drop(state);
         self.loads_changed.notify_one();
         let guard = Guard {
@@ -209,7 +209,7 @@
             return false;
         }
         let servers = self.servers(&mut state, now, &records, part);
-        let has_waiting = state.board.has_waiting(now);
+        let has_waiting = state.loads.has_waiting(now);
         let writing = context.write_time_bound(&state.writing);
         drop(state);
         let place = find(context, &servers, has_waiting);
@@ -233,7 +233,7 @@
         part: subset::Subset,
     ) -> Vec<place::Server> {
         let zone = &self.node.settings().zone;
-        let view = state.board.view_subset(now, part);
+        let view = state.loads.view_subset(now, part);
         let server = |record: &register::Record| {
             let key = load::server_key(&record.life);
             place::Server {
@@ -262,7 +262,9 @@
         let mut state = self.state();
         state.observe_congestion(now);
         let servers = state.register.ready(now, &context.service).count();
-        let rejection = state.pressure.rejection(&engine, &need, objective, servers);
+        let rejection = state
+            .congestion
+            .rejection(&engine, &need, objective, servers);
         drop(state);
         let Some(rejection) = rejection else {
             return false;
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -303,7 +303,7 @@
     /// Entries in the order in which they grant for a service: the grantor, its deputy, the rest.
     fn grantors(&self, service: &str) -> Vec<SocketAddr> {
         let mut entries: Vec<SocketAddr> = {
-            let roster = self.roster();
+            let roster = self.membership();
             let all = roster.all().filter(|peer| peer.serves);
             all.map(|peer| peer.link).collect()
         };
--- a/src/edge/direct/heartbeat.rs
+++ b/src/edge/direct/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves, and what is found out about them.
+//! Heartbeats of backend servers, and what entries observe of their failures.
 
 use super::Direct;
 use crate::direct::gossip;
@@ -8,8 +8,8 @@
 use crate::wire::id;
 
 impl Direct {
-    /// Takes what a backend server says of itself, heard here. It is passed on at once if it is
-    /// news. One that names no server to use is refused, with the reason.
+    /// Takes a heartbeat that a backend server sent to this process. If it changes the server's
+    /// record, the record is broadcast at once. Errors: the heartbeat names no usable server.
     pub fn accept_heartbeat(&self, record: register::Record) -> Result<(), register::Rejection> {
         let taken = self.apply_record(record.clone(), true)?;
         if matches!(taken, register::Update::New | register::Update::Changed) {
@@ -18,19 +18,19 @@
         Ok(())
     }
 
-    /// A heartbeat was refused: it cannot be read, or names no server to use.
-    pub fn heartbeat_rejected(&self, id: &str, why: &str) {
+    /// Counts and logs a heartbeat that cannot be read, or names no usable server.
+    pub fn heartbeat_rejected(&self, id: &str, cause: &str) {
         self.counts.heartbeat_rejected();
         let now = self.node.now();
         if self.log_limiter.allow(Event::HeartbeatRefused, now) {
-            log_event!(self.node.log(), Event::HeartbeatRefused, "server" => id, "cause" => why);
+            log_event!(self.node.log(), Event::HeartbeatRefused, "server" => id, "cause" => cause);
         }
     }
 
-    /// A backend server goes.
-    pub fn server_left(&self, life: register::Instance) {
+    /// A backend server announced that it leaves.
+    pub fn server_left(&self, instance: register::Instance) {
         let now = self.node.now();
-        let record = self.state().register.mark_gone(now, life);
+        let record = self.state().register.mark_gone(now, instance);
         let Some(record) = record else {
             return;
         };
@@ -39,7 +39,7 @@
         self.broadcast(gossip::Message::Records(vec![record]));
     }
 
-    /// Takes a record, heard here (`direct`) or passed on.
+    /// Merges a record into the register. `direct`: the server sent it to this process, not gossip.
     pub(crate) fn apply_record(
         &self,
         record: register::Record,
@@ -47,7 +47,7 @@
     ) -> Result<register::Update, register::Rejection> {
         let now = self.node.now();
         let catalog = self.catalog();
-        let is_named = catalog.is_none_or(|one| one.service(&record.service).is_some());
+        let is_named = catalog.is_none_or(|catalog| catalog.service(&record.service).is_some());
         let mut state = self.state();
         state.register.check(&record, is_named)?;
         let taken = state.register.merge(now, record.clone(), direct);
@@ -73,25 +73,25 @@
             "phase" => format!("{:?}", record.phase), "seq" => record.seq, "direct" => direct);
     }
 
-    /// A backend server did not answer, or died.
-    pub(crate) fn pause_server(&self, life: &register::Instance, why: &str) {
+    /// Sends nothing new to a backend server for a while, since it did not answer or died.
+    pub(crate) fn pause_server(&self, instance: &register::Instance, cause: &str) {
         let now = self.node.now();
-        let until = self.state().healths.record_unreachable(now, life);
-        self.pool.close_idle(life);
+        let until = self.state().healths.record_unreachable(now, instance);
+        self.pool.close_idle(instance);
         if self.log_limiter.allow(Event::ServerOut, now) {
-            log_event!(self.node.log(), Event::ServerOut, "server" => life, "cause" => why,
+            log_event!(self.node.log(), Event::ServerOut, "server" => instance, "cause" => cause,
                 "pause_ms" => until.saturating_sub(now).as_millis() as u64);
         }
     }
 
-    /// Another life answered where `life` was expected.
-    pub(crate) fn server_displaced(&self, life: &register::Instance) {
-        self.state().register.mark_displaced(life);
-        self.pool.close_idle(life);
-        log_event!(self.node.log(), Event::ServerDisplaced, "server" => life);
+    /// Another instance answers at the address of `instance`: the server restarted or was replaced.
+    pub(crate) fn server_displaced(&self, instance: &register::Instance) {
+        self.state().register.mark_displaced(instance);
+        self.pool.close_idle(instance);
+        log_event!(self.node.log(), Event::ServerDisplaced, "server" => instance);
     }
 
-    /// A server died while it ran a request.
+    /// A server died while it ran a request, which is a suspect from now on.
     pub(crate) fn server_died(&self, request: id::Fingerprint, server: &register::Instance) {
         let now = self.node.now();
         if self.state().suspects.record_crash(now, request, server) {
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -1,4 +1,4 @@
-//! Datagrams between processes: who is there, which backend servers, what runs where.
+//! The gossip between processes over UDP: membership, backend servers, and the load on them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,27 +22,33 @@
 use crate::log_event;
 use crate::wire::rpc;
 
-/// Time between two greetings. A process that is new is known everywhere after two of them.
-const HELLO: Duration = Duration::from_millis(400);
+/// Time between two hello messages. A new process is known everywhere after two of them.
+const HELLO_PERIOD: Duration = Duration::from_millis(400);
 
-/// Time between two tries to reach a seed, and how long after its start a process tries that often:
-/// as long as processes of one start may be apart, several times over.
-const KNOCK: Duration = Duration::from_millis(100);
-const KNOCKS: Duration = Duration::from_secs(2);
+/// Time between two hello messages to a seed that was not heard yet.
+const SEED_PERIOD: Duration = Duration::from_millis(100);
 
-/// Greetings a round of records heard here: each is said again well before it is missed.
-const ROUNDS: u64 = 2;
+/// Time after its start for which a process greets seeds that often: several times as long as
+/// processes that start together may be apart.
+const SEED_PHASE: Duration = Duration::from_secs(2);
 
-/// How long a record heard here is passed on: longer than two heartbeats are apart.
-const PASS_ON: Duration = Duration::from_millis(3_000);
+/// Hello rounds from one refresh of records and limits to the next. A refresh comes well before
+/// other processes take a server as silent.
+const REFRESH_ROUNDS: u64 = 2;
 
-/// Least time between two words on what runs here, and how it grows with the processes that hear
-/// it. Placing on a view that old costs less than a pass of an engine.
+/// Age up to which a record heard here is gossiped again. Longer than the time between two
+/// heartbeats.
+const RECORD_AGE: Duration = Duration::from_millis(3_000);
+
+/// Least time between two load reports. A view of the load that old delays a request by less than
+/// one pass of an engine.
 const LOADS_PAUSE: Duration = Duration::from_millis(8);
+
+/// Addition to [`LOADS_PAUSE`] for each process that receives the reports.
 const LOADS_PAUSE_EACH: Duration = Duration::from_micros(500);
 
-/// When news is said again after it came, since datagrams get lost: at a loss of one in twenty
-/// all five are lost once in three million times.
+/// Delays after which a broadcast is sent, counted from when it was queued. It is repeated because
+/// datagrams get lost: if one in twenty is lost, all five are lost once in three million times.
 const REPEATS: [Duration; 5] = [
     Duration::ZERO,
     Duration::from_millis(60),
@@ -51,15 +57,17 @@
     Duration::from_millis(1_000),
 ];
 
-/// Time for another process to send a document.
-const PULL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Timeout for fetching a document from another process.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Largest datagram taken.
-const MAX_DATAGRAM: usize = 64 << 10;
+/// Largest datagram received.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
+/// A broadcast that is still to be repeated.
 struct Repeat {
-    news: gossip::Message,
-    since: Duration,
+    message: gossip::Message,
+    queued_at: Duration,
+    /// Index of the next delay in [`REPEATS`].
     next: usize,
 }
 
@@ -69,16 +77,17 @@
     seq: u64,
     round: u64,
     repeats: Vec<Repeat>,
-    loads_sent: Duration,
+    loads_sent_at: Duration,
     loads_due: bool,
-    /// Whether the next word on loads is of all, not only of what changed.
+    /// Whether the next load report holds all loads, not only those that changed.
     loads_whole: bool,
-    /// What was last told of loads.
-    bulletin: reporter::Reporter,
-    pulling: Arc<AtomicBool>,
+    /// Tracks the loads last reported.
+    reporter: reporter::Reporter,
+    /// Whether a document is being fetched.
+    fetching: Arc<AtomicBool>,
 }
 
-/// Sends and takes datagrams on `socket` until the process ends.
+/// Sends and receives datagrams on `socket` until the process ends.
 pub async fn run(direct: Arc<Direct>, socket: UdpSocket) {
     let mut mesh = Mesh {
         direct,
@@ -86,87 +95,93 @@
         seq: 0,
         round: 0,
         repeats: Vec::new(),
-        loads_sent: Duration::ZERO,
+        loads_sent_at: Duration::ZERO,
         loads_due: false,
         loads_whole: true,
-        bulletin: reporter::Reporter::default(),
-        pulling: Arc::default(),
+        reporter: reporter::Reporter::default(),
+        fetching: Arc::default(),
     };
     mesh.run().await;
 }
 
 impl Mesh {
     async fn run(&mut self) {
-        let mut hello = time::interval(HELLO);
+        let mut hello = time::interval(HELLO_PERIOD);
         hello.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut knock = time::interval(KNOCK);
-        knock.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut buf = vec![0; MAX_DATAGRAM];
+        let mut seed_hello = time::interval(SEED_PERIOD);
+        seed_hello.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         let direct = Arc::clone(&self.direct);
         loop {
             let due = self.next_due();
             tokio::select! {
                 _ = hello.tick() => self.greet(),
-                _ = knock.tick(), if direct.node.now() < KNOCKS => self.knock(),
-                got = self.socket.recv_from(&mut buf) => {
-                    // A datagram to a closed port comes back as an error of this socket.
-                    if let Ok((len, _)) = got
+                _ = seed_hello.tick(), if direct.node.now() < SEED_PHASE => self.greet_seeds(),
+                received = self.socket.recv_from(&mut buf) => {
+                    // An error may be only that an earlier datagram went to a closed port.
+                    if let Ok((len, _)) = received
                         && let Some(datagram) = gossip::decode(&buf[..len])
                     {
-                        self.take(datagram);
+                        self.receive(datagram);
                     }
                 }
                 () = direct.loads_changed.notified(), if !self.loads_due => self.loads_due = true,
-                () = direct.news_came.notified() => self.take_news(),
+                () = direct.message_queued.notified() => self.send_queued(),
                 () = time::sleep(due) => self.send_due(),
             }
         }
     }
 
-    /// Time until something is to be sent.
+    /// Time until the next repeat or load report is due.
     fn next_due(&self) -> Duration {
         let now = self.direct.node.now();
-        let repeats = self.repeats.iter().map(|one| one.since + REPEATS[one.next]);
-        let loads = self.loads_due.then(|| self.loads_sent + self.loads_pause());
+        let repeats = self
+            .repeats
+            .iter()
+            .map(|repeat| repeat.queued_at + REPEATS[repeat.next]);
+        let loads = self
+            .loads_due
+            .then(|| self.loads_sent_at + self.loads_pause());
         let due = repeats.chain(loads).min();
-        due.map_or(HELLO, |due| due.saturating_sub(now))
+        due.map_or(HELLO_PERIOD, |due| due.saturating_sub(now))
     }
 
     fn loads_pause(&self) -> Duration {
-        let peers = self.direct.roster().len();
+        let peers = self.direct.membership().len();
         LOADS_PAUSE + LOADS_PAUSE_EACH * peers as u32
     }
 
     fn send_due(&mut self) {
         let now = self.direct.node.now();
-        if self.loads_due && now >= self.loads_sent + self.loads_pause() {
+        if self.loads_due && now >= self.loads_sent_at + self.loads_pause() {
             self.send_loads(now);
         }
         let mut due = Vec::new();
-        self.repeats.retain_mut(|one| {
-            while one.next < REPEATS.len() && now >= one.since + REPEATS[one.next] {
-                if one.next == 0 || due.last() != Some(&one.news) {
-                    due.push(one.news.clone());
+        self.repeats.retain_mut(|repeat| {
+            while repeat.next < REPEATS.len() && now >= repeat.queued_at + REPEATS[repeat.next] {
+                if repeat.next == 0 || due.last() != Some(&repeat.message) {
+                    due.push(repeat.message.clone());
                 }
-                one.next += 1;
+                repeat.next += 1;
             }
-            one.next < REPEATS.len()
+            repeat.next < REPEATS.len()
         });
-        for news in due {
-            self.send_all(news);
+        for message in due {
+            self.send_all(message);
         }
     }
 
-    fn take_news(&mut self) {
-        let since = self.direct.node.now();
-        let letters = std::mem::take(&mut *self.direct.letters.lock().expect("letters lock"));
-        for (to, news) in letters {
-            self.send(news, &[to]);
+    fn send_queued(&mut self) {
+        let queued_at = self.direct.node.now();
+        let unicasts = std::mem::take(&mut *self.direct.unicasts.lock().expect("unicasts lock"));
+        for (to, message) in unicasts {
+            self.send(message, &[to]);
         }
-        let news = std::mem::take(&mut *self.direct.news.lock().expect("news lock"));
-        let repeats = news.into_iter().map(|news| Repeat {
-            news,
-            since,
+        let broadcasts =
+            std::mem::take(&mut *self.direct.broadcasts.lock().expect("broadcasts lock"));
+        let repeats = broadcasts.into_iter().map(|message| Repeat {
+            message,
+            queued_at,
             next: 0,
         });
         self.repeats.extend(repeats);
@@ -175,32 +190,33 @@
 
     fn send_loads(&mut self, now: Duration) {
         self.loads_due = false;
-        self.loads_sent = now;
+        self.loads_sent_at = now;
         if !self.direct.settings.serves {
             return;
         }
         let whole = std::mem::take(&mut self.loads_whole);
-        let told = {
+        let report = {
             let state = self.direct.state();
-            self.bulletin.next(&state.board, now, whole)
+            self.reporter.next(&state.loads, now, whole)
         };
-        let news = gossip::Message::Loads {
-            whole: told.whole,
-            loads: told.loads,
-            waiting: told.waiting,
+        let message = gossip::Message::Loads {
+            whole: report.whole,
+            loads: report.loads,
+            waiting: report.waiting,
         };
-        self.spread(news);
+        self.send_by_zone(message);
     }
 
-    /// Sends to all: to those of its own zone, and in each other zone to one that passes it on.
-    /// Bytes between zones are dear, and with six processes a zone this sends a sixth of them.
-    fn spread(&mut self, news: gossip::Message) {
+    /// Sends to all processes: directly within its own zone, and in each other zone to one process
+    /// that relays it. Traffic between zones is expensive, and with six processes a zone this
+    /// sends a sixth of it.
+    fn send_by_zone(&mut self, message: gossip::Message) {
         let own = self.direct.node.settings().zone.clone();
-        let mut near = Vec::new();
+        let mut targets = Vec::new();
         let mut zones: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
         for (addr, peer) in self.direct.peers() {
             if peer.zone == own {
-                near.push(addr);
+                targets.push(addr);
             } else {
                 zones.entry(peer.zone).or_default().push(addr);
             }
@@ -209,10 +225,10 @@
         for mut addrs in zones.into_values() {
             addrs.sort_unstable();
             if addrs.len() > 1 {
-                // Each in its turn, so that one that has just died costs some of the datagrams.
+                // Relays take turns, so that a relay that just died loses only some datagrams.
                 relays.push(addrs[self.seq as usize % addrs.len()]);
             } else {
-                near.extend(addrs);
+                targets.extend(addrs);
             }
         }
         self.seq += 1;
@@ -220,24 +236,24 @@
             from: self.me(),
             seq: self.seq,
             relay: false,
-            news,
+            news: message,
         };
-        self.send_datagram(&datagram, &near);
+        self.send_datagram(&datagram, &targets);
         datagram.relay = true;
         self.send_datagram(&datagram, &relays);
     }
 
-    /// Passes a datagram on to the others of this process's zone.
+    /// Forwards a datagram to the other processes of this zone.
     fn relay(&self, datagram: &gossip::Datagram) {
         let own = &self.direct.node.settings().zone;
         let peers = self.direct.peers();
-        let near = peers.iter().filter(|(_, peer)| peer.zone == *own);
-        let near: Vec<SocketAddr> = near.map(|(addr, _)| *addr).collect();
-        let passed = gossip::Datagram {
+        let targets = peers.iter().filter(|(_, peer)| peer.zone == *own);
+        let targets: Vec<SocketAddr> = targets.map(|(addr, _)| *addr).collect();
+        let relayed = gossip::Datagram {
             relay: false,
             ..datagram.clone()
         };
-        self.send_datagram(&passed, &near);
+        self.send_datagram(&relayed, &targets);
     }
 
     fn send_datagram(&self, datagram: &gossip::Datagram, targets: &[SocketAddr]) {
@@ -246,7 +262,7 @@
         }
         let bytes = gossip::encode(datagram);
         for addr in targets {
-            // What cannot be sent now counts as lost on the way.
+            // A datagram that can't be sent now counts as lost: all gossip is repeated.
             let _ = self.socket.try_send_to(&bytes, *addr);
         }
     }
@@ -255,25 +271,25 @@
         let now = self.direct.node.now();
         self.direct.state().observe_congestion(now);
         self.round += 1;
-        self.lose_silent(now);
+        self.remove_silent_peers(now);
         let settings = self.direct.node.settings();
         let seeds = self.direct.node.seeds();
         let (named, targets) = {
-            let mut roster = self.direct.roster();
+            let mut membership = self.direct.membership();
             (
-                roster.next_greeting(now),
-                roster.greeting_targets(settings.link, &seeds),
+                membership.next_greeting(now),
+                membership.greeting_targets(settings.link, &seeds),
             )
         };
         self.send(gossip::Message::Hello(named), &targets);
-        if self.round.is_multiple_of(ROUNDS) {
-            let heard = self.direct.state().register.recent(now, PASS_ON);
+        if self.round.is_multiple_of(REFRESH_ROUNDS) {
+            let heard = self.direct.state().register.recent(now, RECORD_AGE);
             for records in gossip::record_chunks(heard) {
                 self.send_all(gossip::Message::Records(records));
             }
-            let limits = self.direct.state().quotas.recent(now, PASS_ON);
-            for words in gossip::report_chunks(&limits) {
-                self.send_all(gossip::Message::Limits(words));
+            let limits = self.direct.state().quotas.recent(now, RECORD_AGE);
+            for reports in gossip::report_chunks(&limits) {
+                self.send_all(gossip::Message::Limits(reports));
             }
         }
         self.loads_due = true;
@@ -282,23 +298,23 @@
     }
 
     /// Greets the seeds that were not heard yet.
-    fn knock(&mut self) {
+    fn greet_seeds(&mut self) {
         let me = self.direct.node.settings().link;
         let seeds = self.direct.node.seeds();
-        let unheard = self.direct.roster().unheard_seeds(me, &seeds);
+        let unheard = self.direct.membership().unheard_seeds(me, &seeds);
         self.send(gossip::Message::Hello(Vec::new()), &unheard);
     }
 
-    fn lose_silent(&self, now: Duration) {
-        for (peer, silent) in self.direct.roster().expire(now) {
+    fn remove_silent_peers(&self, now: Duration) {
+        for (peer, silent) in self.direct.membership().expire(now) {
             log_event!(self.direct.node.log(), Event::PeerLost, "peer" => peer,
                 "silent_ms" => silent.as_millis() as u64);
         }
     }
 
     fn peer_addrs(&self) -> Vec<SocketAddr> {
-        let roster = self.direct.roster();
-        roster.live().map(|one| one.link).collect()
+        let membership = self.direct.membership();
+        membership.live().map(|peer| peer.link).collect()
     }
 
     fn me(&self) -> gossip::Peer {
@@ -317,23 +333,23 @@
         }
     }
 
-    fn send_all(&mut self, news: gossip::Message) {
+    fn send_all(&mut self, message: gossip::Message) {
         let peers = self.peer_addrs();
-        self.send(news, &peers);
+        self.send(message, &peers);
     }
 
-    fn send(&mut self, news: gossip::Message, targets: &[SocketAddr]) {
+    fn send(&mut self, message: gossip::Message, targets: &[SocketAddr]) {
         self.seq += 1;
         let datagram = gossip::Datagram {
             from: self.me(),
             seq: self.seq,
             relay: false,
-            news,
+            news: message,
         };
         self.send_datagram(&datagram, targets);
     }
 
-    fn take(&mut self, datagram: gossip::Datagram) {
+    fn receive(&mut self, datagram: gossip::Datagram) {
         let now = self.direct.node.now();
         let from = &datagram.from;
         if from.link == self.direct.node.settings().link {
@@ -343,16 +359,16 @@
             self.relay(&datagram);
         }
         let from = datagram.from;
-        self.see(now, &from);
+        self.observe_peer(now, &from);
         match datagram.news {
             gossip::Message::Hello(others) => {
                 let me = self.direct.node.settings().link;
-                let strangers = self.direct.roster().add_reported(now, me, &others);
-                self.send(gossip::Message::Hello(Vec::new()), &strangers);
+                let unknown = self.direct.membership().add_reported(now, me, &others);
+                self.send(gossip::Message::Hello(Vec::new()), &unknown);
             }
             gossip::Message::Records(records) => {
                 for record in records {
-                    // Whoever heard it has logged and counted what is wrong with it.
+                    // The process that received the heartbeat has logged and counted any error.
                     let _ = self.direct.apply_record(record, false);
                 }
             }
@@ -361,13 +377,13 @@
                 loads,
                 waiting,
             } => {
-                let told = load::Report {
+                let report = load::Report {
                     whole,
                     loads,
                     waiting,
                 };
-                let board = &mut self.direct.state().board;
-                board.apply(now, from.link, from.life, datagram.seq, told);
+                let table = &mut self.direct.state().loads;
+                table.apply(now, from.link, from.life, datagram.seq, report);
             }
             gossip::Message::Paces(paces) => self.direct.apply_paces(&paces),
             gossip::Message::Died(request, server) => {
@@ -376,7 +392,7 @@
                     .suspects
                     .record_crash(now, request, &server);
             }
-            gossip::Message::Limits(words) => self.direct.receive_limit_reports(&words),
+            gossip::Message::Limits(reports) => self.direct.receive_limit_reports(&reports),
             gossip::Message::Ask(ask) => {
                 let grant = self.direct.answer_grant_request(&ask);
                 self.send(gossip::Message::Grant(grant), &[from.link]);
@@ -385,12 +401,12 @@
             gossip::Message::Charged(server) => self.direct.receive_charge(server),
         }
         if from.version > self.direct.node.documents().version() {
-            self.pull(from.link);
+            self.fetch_document(from.link);
         }
     }
 
-    fn see(&mut self, now: Duration, from: &gossip::Peer) {
-        let is_new = self.direct.roster().observe(now, from);
+    fn observe_peer(&mut self, now: Duration, from: &gossip::Peer) {
+        let is_new = self.direct.membership().observe(now, from);
         if is_new {
             self.welcome(now, from.link);
             log_event!(self.direct.node.log(), Event::PeerSeen, "peer" => from.link,
@@ -398,32 +414,33 @@
         }
     }
 
-    /// Tells a process that has just come all that it cannot know yet.
+    /// Sends a new process what it cannot know yet: peers, records, limits and all loads.
     fn welcome(&mut self, now: Duration, addr: SocketAddr) {
         let peers = self.peer_addrs();
         self.send(gossip::Message::Hello(peers), &[addr]);
-        let heard = self.direct.state().register.recent(now, PASS_ON);
+        let heard = self.direct.state().register.recent(now, RECORD_AGE);
         for records in gossip::record_chunks(heard) {
             self.send(gossip::Message::Records(records), &[addr]);
         }
         let limits = self.direct.state().quotas.reports();
-        for words in gossip::report_chunks(&limits) {
-            self.send(gossip::Message::Limits(words), &[addr]);
+        for reports in gossip::report_chunks(&limits) {
+            self.send(gossip::Message::Limits(reports), &[addr]);
         }
         self.loads_due = true;
         self.loads_whole = true;
     }
 
-    /// Fetches the newest document from a process that holds a newer one.
-    fn pull(&self, from: SocketAddr) {
-        if self.pulling.swap(true, Ordering::AcqRel) {
+    /// Starts to fetch the newest document from a process that holds a newer one, unless a fetch
+    /// is in progress.
+    fn fetch_document(&self, from: SocketAddr) {
+        if self.fetching.swap(true, Ordering::AcqRel) {
             return;
         }
         let node = Arc::clone(&self.direct.node);
-        let pulling = Arc::clone(&self.pulling);
+        let fetching = Arc::clone(&self.fetching);
         tokio::spawn(async move {
             fetch(&node, from).await;
-            pulling.store(false, Ordering::Release);
+            fetching.store(false, Ordering::Release);
         });
     }
 }
@@ -432,23 +449,24 @@
     let ask = rpc::Ask::Document {
         have: node.documents().version(),
     };
-    // Without an answer the next datagram of a process that is ahead starts another try.
-    if let Ok(rpc::Answer::Document(Some(document))) = node.link(from).ask(&ask, PULL_TIMEOUT).await
+    // If this fails, the next datagram of a process with a newer document starts another fetch.
+    if let Ok(rpc::Answer::Document(Some(document))) =
+        node.link(from).ask(&ask, FETCH_TIMEOUT).await
     {
         node.documents().install(document);
     }
 }
 
 impl Direct {
-    /// The other processes.
-    pub(super) fn roster(&self) -> MutexGuard<'_, membership::Membership> {
-        self.roster.lock().expect("roster lock")
+    /// Locks the membership: the other processes known here.
+    pub(super) fn membership(&self) -> MutexGuard<'_, membership::Membership> {
+        self.membership.lock().expect("membership lock")
     }
 
-    /// Other processes heard lately, by link address.
+    /// Other processes heard recently, by link address.
     pub fn peers(&self) -> HashMap<SocketAddr, gossip::Peer> {
-        let roster = self.roster();
-        let present = roster.live();
-        present.map(|one| (one.link, one.clone())).collect()
+        let membership = self.membership();
+        let present = membership.live();
+        present.map(|peer| (peer.link, peer.clone())).collect()
     }
 }
--- a/src/edge/direct/turn.rs
+++ b/src/edge/direct/turn.rs
@@ -46,10 +46,10 @@
         };
         let state = self.direct.state();
         match self.ticket {
-            Some(ticket) => state.board.is_first(now, ticket, self.rank),
+            Some(ticket) => state.loads.is_first(now, ticket, self.rank),
             None => {
                 state
-                    .board
+                    .loads
                     .ahead(now, context.time_budget().rank(&engine, &need))
                     == 0
             }
@@ -64,9 +64,9 @@
         self.rank = context.time_budget().rank(engine, &context.need());
         let is_new = self.ticket.is_none();
         let mut state = self.direct.state();
-        self.ticket = Some(state.board.enqueue(self.ticket, self.rank));
+        self.ticket = Some(state.loads.enqueue(self.ticket, self.rank));
         let now = self.direct.node.now();
-        let ahead = state.board.ahead(now, self.rank);
+        let ahead = state.loads.ahead(now, self.rank);
         drop(state);
         if !is_new {
             return;
@@ -91,7 +91,7 @@
     /// Leaves the queue.
     pub(super) fn leave(&mut self) {
         if let Some(ticket) = self.ticket.take() {
-            self.direct.state().board.dequeue(ticket);
+            self.direct.state().loads.dequeue(ticket);
             self.direct.loads_changed.notify_one();
         }
     }
