--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,5 @@
-//! Decisions of the entry role: routing, shares, retries, at most once. No input or output.
+//! Decisions of the entry role: routing, fair shares, retries and at-most-once execution. Pure
+//! state machines without I/O.
 
 pub mod breaker;
 pub mod budget;
--- a/src/entry/breaker.rs
+++ b/src/entry/breaker.rs
@@ -1,41 +1,42 @@
-//! Breaker of one backend server: after failures in a row it gets no work for a while, then one
-//! probe.
+//! Circuit breaker of one backend server: after consecutive failures the server gets no work for a
+//! time, then a single probe.
 
 use std::time::Duration;
 
-/// Failures in a row that open it.
-const FAILURES: u32 = 3;
+/// Consecutive failures that open the breaker.
+const MAX_FAILURES: u32 = 3;
 
-/// Refusals in a row that open it. A refusal is cheap and comes with the exact load.
-const REFUSALS: u32 = 8;
+/// Consecutive refusals that open the breaker. More than of failures, since a refusal is cheap and
+/// comes with the server's exact load.
+const MAX_REFUSALS: u32 = 8;
 
-/// First pause; it doubles with each failed probe.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+/// How long the breaker is open at first; the time doubles with each failed probe.
+const FIRST_OPEN_TIME: Duration = Duration::from_millis(500);
 
-/// Longest pause.
-const LAST_PAUSE: Duration = Duration::from_millis(8_000);
+/// Longest time for which the breaker is open.
+const MAX_OPEN_TIME: Duration = Duration::from_millis(8_000);
 
-/// Time that a probe has before another is let through.
+/// How long a probe may take before another is allowed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
     Closed,
-    /// No work until then.
+    /// No work is allowed until this time.
     Open(Duration),
-    /// One probe is out, since then.
+    /// A probe was placed at this time.
     Probing(Duration),
 }
 
-/// A breaker.
+/// A circuit breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Breaker {
     state: State,
     failures: u32,
     refusals: u32,
-    /// Pauses in a row.
-    pauses: u32,
+    /// How often it opened without a success in between.
+    opened: u32,
 }
 
 impl Breaker {
@@ -48,41 +49,41 @@
         }
     }
 
-    /// Work was placed.
+    /// Records that work was placed.
     pub fn placed(&mut self, now: Duration) {
         if self.state != State::Closed {
             self.state = State::Probing(now);
         }
     }
 
-    /// The server showed that it works.
+    /// Records a success, which closes the breaker.
     pub fn succeeded(&mut self) {
         *self = Self::default();
     }
 
-    /// The server refused.
+    /// Records a refusal by the server.
     pub fn refused(&mut self, now: Duration) {
         self.refusals += 1;
-        if self.refusals >= REFUSALS {
+        if self.refusals >= MAX_REFUSALS {
             self.refusals = 0;
             self.open(now);
         } else if matches!(self.state, State::Probing(_)) {
-            // It answers: the link and the sidecar work.
+            // It replied, so the link and the sidecar work.
             self.state = State::Closed;
         }
     }
 
-    /// An attempt was lost or failed there.
+    /// Records that an attempt was lost or failed.
     pub fn failed(&mut self, now: Duration) {
         self.failures += 1;
-        if self.failures >= FAILURES || matches!(self.state, State::Probing(_)) {
+        if self.failures >= MAX_FAILURES || matches!(self.state, State::Probing(_)) {
             self.open(now);
         }
     }
 
     fn open(&mut self, now: Duration) {
-        let pause = FIRST_PAUSE * 2u32.saturating_pow(self.pauses.min(8));
-        self.pauses += 1;
-        self.state = State::Open(now + pause.min(LAST_PAUSE));
+        let open_time = FIRST_OPEN_TIME * 2u32.saturating_pow(self.opened.min(8));
+        self.opened += 1;
+        self.state = State::Open(now + open_time.min(MAX_OPEN_TIME));
     }
 }
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,9 +1,10 @@
 //! The choice among the backend servers that are present.
 //!
-//! The predicted time to first token of a request on a server is the work ahead of it at its
-//! priority or above, its own uncached prefill, and the link. To it comes what the request would
-//! cost others: short and medium requests keep off servers that prefill a long prompt, and long
-//! prompts keep off the servers set aside for the others, as the policy's `short_weight` says.
+//! The predicted time to first token on a server is the time of the work ahead at the same or a
+//! higher priority, of the request's own uncached prefill, and of the link. Added to it is the delay
+//! that the request would cause others. Depending on the policy's `short_weight`, short and medium
+//! requests avoid servers that prefill a long prompt, and long ones avoid all servers outside the
+//! lane, the part of the fleet that is meant for them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,125 +17,125 @@
 use crate::entry::suspect;
 use crate::wire::run;
 
-/// Servers looked at for one choice; of more, this many are drawn at random.
-pub const SAMPLE: usize = 64;
+/// Up to this many candidates are all considered. Of more, twice as many are: those with cached
+/// blocks first, up to this many, and random others.
+pub const SAMPLE_SIZE: usize = 64;
 
-/// One in so many of the servers is drawn for a choice, and never fewer than the second number.
-const DRAWN_PART: usize = 4;
-const DRAWN_MIN: usize = 3;
+/// Of the scored servers one in [`SERVERS_PER_DRAW`] candidates is drawn, but at least
+/// [`MIN_DRAWN`].
+const SERVERS_PER_DRAW: usize = 4;
+const MIN_DRAWN: usize = 3;
 
-/// Time by which a server in another availability zone is worse.
-const ZONE_COST: f64 = 0.002;
+/// Added to the score of a server in another availability zone.
+const ZONE_COST_S: f64 = 0.002;
 
-/// Prompt tokens that an engine prefills in one go: a request waits for the step in progress.
+/// Prompt tokens that an engine prefills in one step. A new request waits for the step in progress.
 const STEP_TOKENS: f64 = 1_024.0;
 
-/// Most that the generation of other answers is taken to slow a prefill, as a part.
+/// Most by which the generation of other responses is taken to slow down a prefill, as a part of
+/// its time.
 const MAX_SLOWDOWN: f64 = 1.0;
 
-/// Scores this much above the best, as a part and in seconds, are as good: one is drawn, so that
-/// entries with the same view do not all choose the same server.
+/// Scores above the best by no more than this part and this time count as equal. One of them is
+/// chosen at random, so that entries with the same view do not all choose the same server.
 const TIE_PART: f64 = 0.05;
-const TIE_TIME: f64 = 0.001;
+const TIE_S: f64 = 0.001;
 
-/// Time of the work ahead that a server may have and still get more of its class. Beyond it
-/// requests wait at the entry, where fair shares decide and any server may take them.
-const CAP: Duration = Duration::from_millis(500);
+/// A server whose work ahead takes longer than this gets no more. Further requests wait at the
+/// entry, where fair shares apply and any server may take them.
+const MAX_AHEAD: Duration = Duration::from_millis(500);
 
-/// Part of [`CAP`] for workspaces that are over their share.
-const OVER_CAP: f64 = 0.25;
+/// Part of [`MAX_AHEAD`] that applies to workspaces over their share.
+const OVER_SHARE_AHEAD: f64 = 0.25;
 
-/// Part of the slots, and of the memory, kept from medium and from long requests at
+/// Part of the slots and of the memory that medium and long requests must leave free, at
 /// `short_weight` 50.
 const MEDIUM_RESERVE: f64 = 0.0625;
 const LONG_RESERVE: f64 = 0.125;
 
-/// Part of the slots kept from workspaces that are over their share.
-const OVER_RESERVE: f64 = 0.5;
+/// Part of the slots that workspaces over their share must leave free.
+const OVER_SHARE_RESERVE: f64 = 0.5;
 
-/// What a sidecar keeps for short requests: one slot, and one part of memory, in so many. And
-/// what it adds to a prompt's estimated memory: one part in so many.
-const KEPT_SLOTS: u32 = 8;
-const KEPT_MEMORY: u64 = 16;
-const MARGIN: u64 = 50;
+/// A sidecar reserves one slot in [`SLOTS_PER_KEPT`] and one part of its memory in
+/// [`MEMORY_PER_KEPT`] for short requests. It adds one part in [`PROMPT_PER_MARGIN`] to the
+/// estimated length of a prompt.
+const SLOTS_PER_KEPT: u32 = 8;
+const MEMORY_PER_KEPT: u64 = 16;
+const PROMPT_PER_MARGIN: u64 = 50;
 
-/// How long a held server still takes short requests.
-const HELD_PATIENCE: Duration = Duration::from_millis(1_000);
+/// How long a server still takes short requests after it is held.
+const HELD_SHORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Part of the servers that are meant for long requests, at `short_weight` 100 and 0.
+/// Part of the servers that form the lane for long requests, at `short_weight` 100 and 0.
 const LANE_MIN: f64 = 0.1;
 const LANE_MAX: f64 = 0.25;
 
-/// How long a request waits for servers on its side of the lane's border before it takes idle
-/// room on the other, at `short_weight` 50.
-const LANE_PATIENCE: Duration = Duration::from_millis(500);
+/// How long a long request waits for a server in the lane, and any other for one outside, before
+/// it uses idle capacity on the other side; at `short_weight` 50.
+const LANE_WAIT: Duration = Duration::from_millis(500);
 
-/// The same of a long request, as a part of its own prefill.
-const LONG_PATIENCE: f64 = 0.5;
+/// The least such wait of a long request, as a part of its own prefill time.
+const LONG_WAIT_FACTOR: f64 = 0.5;
 
-/// Slots of a server of the lane that others leave to long requests.
-const LANE_SLOTS: u32 = 1;
+/// Slots of a server in the lane that short and medium requests must leave free.
+const LANE_FREE_SLOTS: u32 = 1;
 
-/// Part of the slots that may be taken beside a long prefill, at `short_weight` 0 and 100.
+/// Part of the slots that may be in use during a long prefill, at `short_weight` 0 and 100.
 const BESIDE_LONG_MIN: f64 = 0.25;
 const BESIDE_LONG_MAX: f64 = 0.75;
 
-/// How many times longer the others wait where a long prompt is in prefill.
-const BUSY_LANE: f64 = 4.0;
+/// Factor on the wait of short and medium requests for a lane server that prefills a long prompt.
+const LONG_BUSY_FACTOR: f64 = 4.0;
 
-/// How long a request waits before it goes to a server that it was to avoid.
-const AVOID_PATIENCE: Duration = Duration::from_millis(1_000);
+/// How long a request waits before it uses a server that it should avoid.
+const AVOID_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How long a suspect waits for a server of its own.
-const SUSPECT_PATIENCE: Duration = Duration::from_millis(2_000);
+/// How long a suspect waits for one of the servers assigned to it.
+const SUSPECT_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Time in which a new server comes up to its full load.
-const RAMP: Duration = Duration::from_secs(5);
+/// Time over which a new server's load limit rises to the full one.
+const RAMP_TIME: Duration = Duration::from_secs(5);
 
-/// Load of a server when it is new, as a part.
+/// Load limit of a server on its arrival, as a part of the full one.
 const RAMP_START: f64 = 0.25;
 
-/// What a choice is made on.
+/// What a choice is based on.
 pub struct View<'a> {
-    /// Now.
     pub now: Duration,
-    /// The policy.
     pub policy: &'a config::Policy,
     /// Availability zone of this entry.
     pub zone: &'a str,
-    /// The servers.
     pub fleet: &'a fleet::Fleet,
-    /// The suspects.
     pub suspects: &'a suspect::Suspects,
     /// Cached prompt tokens by server.
     pub cached: &'a HashMap<fleet::Index, u64>,
-    /// Since when this entry knows its servers: those that it found are not new.
+    /// When this entry started. Servers that arrived within [`RAMP_TIME`] of it do not count as new.
     pub started: Duration,
     /// Whether the workspace is over its share.
     pub over_share: bool,
-    /// Class with whose prompts the request would be prefilled.
+    /// Class by the request's priority, which decides the order of prefill.
     pub priority_class: run::Class,
-    /// Whether a long request came lately.
+    /// Whether a long request arrived recently.
     pub long_recent: bool,
 }
 
-/// What came of it.
+/// The result of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// A server, and the prompt tokens that it has to prefill.
     Found(fleet::Index, u64),
-    /// There are servers, but none has room now.
+    /// Servers are present, but none has capacity now.
     Full,
     /// No server is present.
     Absent,
-    /// No server could ever hold it.
+    /// The request is larger than the memory of any server.
     TooLong,
 }
 
 /// A server that could take the request.
 struct Candidate {
     index: fleet::Index,
-    /// Place among the servers of the service, by name.
+    /// Position among the servers of the service, by name.
     position: usize,
     count: usize,
 }
@@ -144,7 +145,7 @@
     pub fn choose(&self, waiting: &queue::Waiting, turn: usize, rng: &mut impl Rng) -> Choice {
         let job = &waiting.job;
         let list = self.fleet.service(&job.service);
-        let mut open = Vec::new();
+        let mut candidates = Vec::new();
         let mut fits = job.model.is_none();
         for (position, &index) in list.iter().enumerate() {
             let Some(server) = self.fleet.server(index) else {
@@ -152,28 +153,28 @@
             };
             if server.is_open(self.now) && server.serves(job.model.as_deref()) {
                 fits |= waiting.memory() <= server.announced.load.memory_tokens;
-                open.push(Candidate {
+                candidates.push(Candidate {
                     index,
                     position,
                     count: list.len(),
                 });
             }
         }
-        if open.is_empty() {
+        if candidates.is_empty() {
             return Choice::Absent;
         }
         if !fits {
             return Choice::TooLong;
         }
-        self.sample(&mut open, rng);
+        self.sample(&mut candidates, rng);
         let waited = self.now.saturating_sub(waiting.since);
-        let mut best = self.best(waiting, &open, false, turn, rng);
+        let mut best = self.best(waiting, &candidates, false, turn, rng);
         if best.is_none() && !job.avoid.is_empty() {
-            let all_avoided = open
+            let all_avoided = candidates
                 .iter()
                 .all(|candidate| self.avoided(waiting, candidate));
-            if all_avoided || waited >= AVOID_PATIENCE {
-                best = self.best(waiting, &open, true, turn, rng);
+            if all_avoided || waited >= AVOID_WAIT {
+                best = self.best(waiting, &candidates, true, turn, rng);
             }
         }
         match best {
@@ -182,19 +183,19 @@
         }
     }
 
-    /// Draws [`SAMPLE`] of more candidates, and keeps those with cached blocks.
-    fn sample(&self, open: &mut Vec<Candidate>, rng: &mut impl Rng) {
-        if open.len() <= SAMPLE {
+    /// Reduces many candidates to those with cached blocks and a random sample.
+    fn sample(&self, candidates: &mut Vec<Candidate>, rng: &mut impl Rng) {
+        if candidates.len() <= SAMPLE_SIZE {
             return;
         }
-        let (mut kept, mut rest): (Vec<_>, Vec<_>) = std::mem::take(open)
+        let (mut kept, mut rest): (Vec<_>, Vec<_>) = std::mem::take(candidates)
             .into_iter()
             .partition(|candidate| self.cached.contains_key(&candidate.index));
-        kept.truncate(SAMPLE);
-        while kept.len() < 2 * SAMPLE && !rest.is_empty() {
+        kept.truncate(SAMPLE_SIZE);
+        while kept.len() < 2 * SAMPLE_SIZE && !rest.is_empty() {
             kept.push(rest.swap_remove(rng.random_range(0..rest.len())));
         }
-        *open = kept;
+        *candidates = kept;
     }
 
     fn avoided(&self, waiting: &queue::Waiting, candidate: &Candidate) -> bool {
@@ -205,17 +206,18 @@
     fn best(
         &self,
         waiting: &queue::Waiting,
-        open: &[Candidate],
+        candidates: &[Candidate],
         avoided: bool,
         turn: usize,
         rng: &mut impl Rng,
     ) -> Option<fleet::Index> {
-        let mut scored = Vec::with_capacity(open.len());
-        for candidate in open {
+        let mut scored = Vec::with_capacity(candidates.len());
+        for candidate in candidates {
             let Some(server) = self.fleet.server(candidate.index) else {
                 continue;
             };
-            if avoided != self.avoided(waiting, candidate) || !self.admits(waiting, candidate) {
+            if avoided != self.avoided(waiting, candidate) || !self.meets_limits(waiting, candidate)
+            {
                 continue;
             }
             let score = match self.policy.routing {
@@ -224,7 +226,7 @@
                     (distance - turn % candidate.count) as f64 % candidate.count as f64
                 }
                 config::Routing::LeastRequests => f64::from(server.busy()),
-                config::Routing::Predicted if !self.has_room(waiting, candidate, server) => {
+                config::Routing::Predicted if !self.has_capacity(waiting, candidate, server) => {
                     continue;
                 }
                 config::Routing::Predicted => self.score(waiting, candidate, server),
@@ -232,21 +234,27 @@
             scored.push((score, candidate.index));
         }
         if self.policy.routing == config::Routing::Predicted && waiting.class != run::Class::Long {
-            self.draw(&mut scored, open.len(), rng);
+            self.sample_scored(&mut scored, candidates.len(), rng);
         }
         let best = scored.iter().map(|found| found.0).min_by(f64::total_cmp)?;
         let limit = match self.policy.routing {
-            config::Routing::Predicted => best * (1.0 + TIE_PART) + TIE_TIME,
+            config::Routing::Predicted => best * (1.0 + TIE_PART) + TIE_S,
             config::Routing::RoundRobin | config::Routing::LeastRequests => best,
         };
         scored.retain(|found| found.0 <= limit);
         Some(scored[rng.random_range(0..scored.len())].1)
     }
 
-    /// Keeps a random part of the servers with room, and those with cached blocks: entries whose
-    /// view is equally old would all choose the best one until their next reports.
-    fn draw(&self, scored: &mut Vec<(f64, fleet::Index)>, open: usize, rng: &mut impl Rng) {
-        let kept = open.div_ceil(DRAWN_PART).max(DRAWN_MIN);
+    /// Reduces the scored servers to those with cached blocks and a random part of the others.
+    /// Otherwise entries with equally old views would all choose the best server until its next
+    /// report.
+    fn sample_scored(
+        &self,
+        scored: &mut Vec<(f64, fleet::Index)>,
+        count: usize,
+        rng: &mut impl Rng,
+    ) {
+        let kept = count.div_ceil(SERVERS_PER_DRAW).max(MIN_DRAWN);
         let (mut drawn, mut rest): (Vec<_>, Vec<_>) = std::mem::take(scored)
             .into_iter()
             .partition(|found| self.cached.contains_key(&found.1));
@@ -256,8 +264,9 @@
         *scored = drawn;
     }
 
-    /// What every policy asks of a server: a slot, memory, and that the request may go there.
-    fn admits(&self, waiting: &queue::Waiting, candidate: &Candidate) -> bool {
+    /// Whether a server meets the conditions of every policy: a free slot, free memory, a closed
+    /// breaker, and no conflict between suspects.
+    fn meets_limits(&self, waiting: &queue::Waiting, candidate: &Candidate) -> bool {
         let Some(server) = self.fleet.server(candidate.index) else {
             return false;
         };
@@ -266,7 +275,7 @@
             run::Class::Short => 0,
             run::Class::Medium | run::Class::Long => 1,
         };
-        let slots = load.slots - kept * load.slots.div_ceil(KEPT_SLOTS).min(load.slots / 2);
+        let slots = load.slots - kept * load.slots.div_ceil(SLOTS_PER_KEPT).min(load.slots / 2);
         if !server.breaker.allows(self.now)
             || !self.may_use(waiting, candidate, server)
             || server.busy() >= slots
@@ -277,8 +286,8 @@
         if waiting.job.model.is_none() || used == 0 {
             return waiting.memory() <= load.memory_tokens;
         }
-        let memory = load.memory_tokens - u64::from(kept) * load.memory_tokens / KEPT_MEMORY;
-        used + waiting.memory() + waiting.prompt_tokens / MARGIN <= memory
+        let memory = load.memory_tokens - u64::from(kept) * load.memory_tokens / MEMORY_PER_KEPT;
+        used + waiting.memory() + waiting.prompt_tokens / PROMPT_PER_MARGIN <= memory
     }
 
     fn may_use(
@@ -287,20 +296,21 @@
         candidate: &Candidate,
         server: &fleet::Server,
     ) -> bool {
-        let print = waiting.job.fingerprint;
-        if !self.suspects.has(print) {
+        let fingerprint = waiting.job.fingerprint;
+        if !self.suspects.has(fingerprint) {
             return true;
         }
-        if server.suspects > 0 || self.suspects.killed(print, &server.announced.server) {
+        if server.suspects > 0 || self.suspects.crashed(fingerprint, &server.announced.server) {
             return false;
         }
         self.suspects
-            .owns(print, candidate.position, candidate.count)
-            || self.now >= waiting.since + SUSPECT_PATIENCE
+            .is_assigned(fingerprint, candidate.position, candidate.count)
+            || self.now >= waiting.since + SUSPECT_WAIT
     }
 
-    /// Whether the policy gives the request room on a server that could take it.
-    fn has_room(
+    /// Whether the predicted policy leaves the request capacity on a server that
+    /// [`Self::meets_limits`].
+    fn has_capacity(
         &self,
         waiting: &queue::Waiting,
         candidate: &Candidate,
@@ -309,8 +319,9 @@
         let load = &server.announced.load;
         let ramp = self.ramp(server);
         if let Some((holder, since)) = server.held_for {
-            let open = waiting.class == run::Class::Short && self.now < since + HELD_PATIENCE;
-            if holder != waiting.job.request && !open {
+            let takes_short =
+                waiting.class == run::Class::Short && self.now < since + HELD_SHORT_TIMEOUT;
+            if holder != waiting.job.request && !takes_short {
                 return false;
             }
         }
@@ -326,7 +337,7 @@
             };
         let mut slots = f64::from(load.slots) * (1.0 - reserve) * ramp;
         if self.over_share {
-            slots -= f64::from(load.slots) * OVER_RESERVE;
+            slots -= f64::from(load.slots) * OVER_SHARE_RESERVE;
         }
         if f64::from(server.busy()) >= slots.max(1.0) {
             return false;
@@ -343,19 +354,23 @@
             return false;
         }
         if waiting.class == run::Class::Long {
-            return self.open_to_long(waiting, candidate, server);
+            return self.admits_long(waiting, candidate, server);
         }
-        if !self.open_to_others(waiting, candidate, server) {
+        if !self.admits_others(waiting, candidate, server) {
             return false;
         }
-        let part = if self.over_share { OVER_CAP } else { 1.0 };
+        let part = if self.over_share {
+            OVER_SHARE_AHEAD
+        } else {
+            1.0
+        };
         let ahead = server.ahead(self.now, self.priority_class) as f64 / server.rate() as f64;
-        ahead <= CAP.as_secs_f64() * part * ramp
+        ahead <= MAX_AHEAD.as_secs_f64() * part * ramp
     }
 
-    /// Whether a long request may go to a server: one long prefill at a time, and outside the
-    /// lane only after some patience, to a server without other prefill.
-    fn open_to_long(
+    /// Whether a long request may go to a server: one long prefill at a time, and outside the lane
+    /// only after a wait, to a server without other prefill.
+    fn admits_long(
         &self,
         waiting: &queue::Waiting,
         candidate: &Candidate,
@@ -364,19 +379,19 @@
         if server.has_long() {
             return false;
         }
-        // One server cannot be shared out.
-        if candidate.count < 2 || self.in_lane(candidate) {
+        // A single server cannot be divided into lanes.
+        if candidate.count < 2 || self.in_long_lane(candidate) {
             return true;
         }
         let own = self.uncached(waiting, candidate.index) as f64 / server.rate() as f64;
-        let patience = LANE_PATIENCE.mul_f64(2.0 * self.weight());
-        let patience = patience.max(Duration::from_secs_f64(LONG_PATIENCE * own));
-        self.now >= waiting.since + patience && server.ahead(self.now, run::Class::Medium) == 0
+        let wait = LANE_WAIT.mul_f64(2.0 * self.weight());
+        let wait = wait.max(Duration::from_secs_f64(LONG_WAIT_FACTOR * own));
+        self.now >= waiting.since + wait && server.ahead(self.now, run::Class::Medium) == 0
     }
 
-    /// Whether a short or medium request may go to a server of the lane: after some patience,
-    /// the more of it the less `short_weight` is.
-    fn open_to_others(
+    /// Whether a short or medium request may go to a server. In the lane it may only after a wait,
+    /// which is longer the less `short_weight` is.
+    fn admits_others(
         &self,
         waiting: &queue::Waiting,
         candidate: &Candidate,
@@ -384,21 +399,25 @@
     ) -> bool {
         let slots = server.announced.load.slots;
         if server.has_long() {
-            // Others go before it at the engine, so only so many at a time.
+            // The engine serves them before the long prefill, so their number is limited.
             let part = BESIDE_LONG_MIN + (BESIDE_LONG_MAX - BESIDE_LONG_MIN) * self.weight();
             if f64::from(server.busy()) >= (f64::from(slots) * part).max(2.0) {
                 return false;
             }
         }
-        if candidate.count < 2 || !self.long_recent || !self.in_lane(candidate) {
+        if candidate.count < 2 || !self.long_recent || !self.in_long_lane(candidate) {
             return true;
         }
-        if server.busy() + slots.div_ceil(KEPT_SLOTS) + LANE_SLOTS > slots {
+        if server.busy() + slots.div_ceil(SLOTS_PER_KEPT) + LANE_FREE_SLOTS > slots {
             return false;
         }
-        let times = if server.has_long() { BUSY_LANE } else { 1.0 };
-        let patience = LANE_PATIENCE.mul_f64(2.0 * (1.0 - self.weight()) * times);
-        self.now >= waiting.since + patience
+        let times = if server.has_long() {
+            LONG_BUSY_FACTOR
+        } else {
+            1.0
+        };
+        let wait = LANE_WAIT.mul_f64(2.0 * (1.0 - self.weight()) * times);
+        self.now >= waiting.since + wait
     }
 
     /// `short_weight` as a part.
@@ -406,23 +425,23 @@
         f64::from(self.policy.short_weight.min(100)) / 100.0
     }
 
-    /// Whether a server is one of those meant for long requests. All entries agree on them.
-    fn in_lane(&self, candidate: &Candidate) -> bool {
+    /// Whether a server is in the lane for long requests. All entries compute the same lane.
+    fn in_long_lane(&self, candidate: &Candidate) -> bool {
         let part = LANE_MIN + (LANE_MAX - LANE_MIN) * (1.0 - self.weight());
         let lane = (candidate.count as f64 * part).ceil() as usize;
         candidate.position < lane
     }
 
-    /// Part of its full load that a server may have: less while it is new and cold.
+    /// Part of its full load that a server may have: less while it is new and its caches are cold.
     fn ramp(&self, server: &fleet::Server) -> f64 {
-        if server.arrived < self.started + RAMP {
+        if server.arrived < self.started + RAMP_TIME {
             return 1.0;
         }
         let age = self.now.saturating_sub(server.arrived).as_secs_f64();
-        (age / RAMP.as_secs_f64()).clamp(RAMP_START, 1.0)
+        (age / RAMP_TIME.as_secs_f64()).clamp(RAMP_START, 1.0)
     }
 
-    /// Predicted time to first token, and what the request costs others, in seconds.
+    /// Predicted time to first token plus the delay that the request causes others, in seconds.
     fn score(
         &self,
         waiting: &queue::Waiting,
@@ -432,7 +451,7 @@
         let zone = if server.announced.zone == self.zone {
             0.0
         } else {
-            ZONE_COST
+            ZONE_COST_S
         };
         if waiting.job.model.is_none() {
             return zone + f64::from(server.busy()) / f64::from(server.announced.load.slots.max(1));
--- a/src/entry/estimate.rs
+++ b/src/entry/estimate.rs
@@ -1,26 +1,26 @@
-//! How many tokens a request costs, learned for each model from the usage that engines report.
+//! Estimates the tokens of a request, for each model from the usage that engines report.
 
 use std::collections::HashMap;
 
 use crate::config;
 use crate::wire::run;
 
-/// Bytes of a prompt that make a token, before any usage was reported.
+/// Bytes of a prompt per token, before any usage was reported.
 const BYTES_PER_TOKEN: f64 = 4.0;
 
-/// Part of `max_tokens` that an answer uses, before any usage was reported.
+/// Part of `max_tokens` that a response uses, before any usage was reported.
 const OUTPUT_PART: f64 = 0.5;
 
 /// Weight of a new sample in the running means.
 const GAIN: f64 = 0.1;
 
-/// Prompts below this many tokens say too little about bytes per token.
-const MIN_SAMPLE: u64 = 16;
+/// Shorter prompts say too little about bytes per token.
+const MIN_SAMPLE_TOKENS: u64 = 16;
 
 /// Most models remembered.
 const MAX_MODELS: usize = 1_024;
 
-/// What is known of one model.
+/// Ratios learned for one model.
 #[derive(Clone, Copy, Debug)]
 struct Ratio {
     bytes_per_token: f64,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Estimates tokens.
+/// Token estimates.
 #[derive(Clone, Debug, Default)]
 pub struct Estimate {
     /// By model; at most [`MAX_MODELS`].
@@ -44,13 +44,13 @@
 }
 
 impl Estimate {
-    /// Tokens of a prompt of `bytes`.
+    /// Estimated tokens of a prompt of `bytes`.
     pub fn prompt(&self, model: &str, bytes: u64) -> u64 {
         let tokens = bytes as f64 / self.ratio(model).bytes_per_token;
         (tokens.ceil() as u64).max(1)
     }
 
-    /// Tokens that an answer of at most `max_tokens` will have.
+    /// Estimated tokens of a response of at most `max_tokens`.
     pub fn output(&self, model: &str, max_tokens: u32) -> u64 {
         (f64::from(max_tokens) * self.ratio(model).output_part) as u64
     }
@@ -60,7 +60,7 @@
         self.models.contains_key(model)
     }
 
-    /// Learns from a run that came to its end.
+    /// Learns from the usage of a completed run.
     pub fn observe(&mut self, model: &str, bytes: u64, max_tokens: u32, usage: run::Usage) {
         if !self.models.contains_key(model) && self.models.len() >= MAX_MODELS {
             return;
@@ -68,7 +68,7 @@
         let first = !self.models.contains_key(model);
         let gain = if first { 1.0 } else { GAIN };
         let ratio = self.models.entry(model.to_owned()).or_default();
-        if usage.prompt_tokens >= MIN_SAMPLE && bytes > 0 {
+        if usage.prompt_tokens >= MIN_SAMPLE_TOKENS && bytes > 0 {
             let sample = bytes as f64 / usage.prompt_tokens as f64;
             ratio.bytes_per_token += gain * (sample - ratio.bytes_per_token);
         }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Learns how many tokens a part of a prompt has.
+    /// Learns from the length of a segment of a prompt.
     pub fn learn(&mut self, model: &str, bytes: u64, tokens: u64) {
         let output_part = self.ratio(model).output_part;
         let usage = run::Usage {
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers that an entry knows of: presence by lease, load by report.
+//! The backend servers known to an entry: presence by lease, load by report.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use crate::wire::member;
 use crate::wire::run;
 
-/// Most backend servers in the table. Beyond it new ones are not taken up.
+/// Most backend servers in the table. New ones beyond it are ignored.
 pub const MAX_SERVERS: usize = 50_000;
 
 /// Prefill speed assumed where none was reported, in tokens a second.
-const DEFAULT_RATE: u64 = 10_000;
+const DEFAULT_PREFILL_RATE: u64 = 10_000;
 
-/// One server in so many of a service may be protected at a time, and never more than half.
-const PROTECTED: usize = 4;
+/// One server in this many of a service may be protected at a time, and never more than half.
+const SERVERS_PER_PROTECTED: usize = 4;
 
-/// Weight of a report in the mean of the others' load.
+/// Weight of a report in the running mean of the other entries' load.
 const GAIN: f64 = 0.5;
 
-/// Place of a server in the table; stable while the server is present.
+/// Index of a server in the table; stable while the server is present.
 pub type Index = usize;
 
 /// Prompt tokens by class of length.
@@ -32,34 +32,36 @@
 pub struct Server {
     /// Its last announcement.
     pub announced: member::Announce,
-    /// When it, or an exact load, was received.
+    /// When the announcement, or the exact load with a refusal, was received.
     pub reported: Duration,
     /// When its lease ends.
     pub expires: Duration,
-    /// When it arrived, or a new life of its engine.
+    /// When it, or the current incarnation of its sidecar or engine, was first announced.
     pub arrived: Duration,
-    /// Attempts of this entry in progress there.
+    /// Attempts of this entry in progress on it.
     pub own_attempts: u32,
-    /// Of these, attempts under suspicion of killing engines.
+    /// Of these, attempts of requests suspected of crashing engines.
     pub suspects: u32,
-    /// Whether it gets work.
     pub breaker: breaker::Breaker,
-    /// A request that waits for this server's memory, and since when. Others keep out.
+    /// The request that waits for this server's memory, and since when the server is held for it.
+    /// Other requests may not use the server meanwhile, except that short ones may at first.
     pub held_for: Option<(id::Request, Duration)>,
-    /// Whether a prefill of this entry there is slow: nothing more is put before it.
+    /// Whether a prefill of this entry is slow on it. The server then gets no short or medium
+    /// requests, which would delay the prefill further.
     pub protected: bool,
     /// Tokens of memory of this entry's attempts.
     own_memory: u64,
-    /// Long attempts of this entry that have not shown their first token.
+    /// Long attempts of this entry without a first token.
     own_long: u32,
-    /// Work of this entry that has not shown its first token.
+    /// Uncached prompt tokens of this entry's attempts without a first token.
     own_ahead: Tokens,
-    /// What other entries have there.
+    /// Load caused by other entries.
     others: Others,
 }
 
-/// Load of a server that is not this entry's: reports less what this entry knows exactly, as a
-/// running mean, since reports are late and all entries would run after each of them.
+/// Load of a server caused by other entries: the reported load less this entry's own. It is a
+/// running mean, because reports are late and all entries would otherwise react to each report
+/// alike.
 #[derive(Clone, Copy, Debug, Default)]
 struct Others {
     attempts: f64,
@@ -68,12 +70,12 @@
 }
 
 impl Others {
-    fn learn(&mut self, sample: &Self, gain: f64) {
-        let blend = |old: &mut f64, new: f64| *old += gain * (new - *old);
-        blend(&mut self.attempts, sample.attempts);
-        blend(&mut self.memory, sample.memory);
+    fn blend(&mut self, sample: &Self, gain: f64) {
+        let update = |old: &mut f64, new: f64| *old += gain * (new - *old);
+        update(&mut self.attempts, sample.attempts);
+        update(&mut self.memory, sample.memory);
         for (old, new) in self.ahead.iter_mut().zip(sample.ahead) {
-            blend(old, new);
+            update(old, new);
         }
     }
 }
@@ -81,21 +83,20 @@
 /// One attempt of this entry on a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where.
     pub server: Index,
     /// Class of length.
     pub class: run::Class,
-    /// Class with whose prompts it is prefilled.
+    /// Class by its priority, which decides the order of prefill.
     pub priority_class: run::Class,
     /// Prompt tokens expected to need prefill.
     pub uncached: u64,
-    /// Tokens of memory that it may take.
+    /// Tokens of memory that it may use.
     pub memory: u64,
-    /// Whether it is under suspicion of killing engines.
+    /// Whether its request is suspected of crashing engines.
     pub suspect: bool,
     /// When it was placed.
     pub placed: Duration,
-    /// Whether its first token came.
+    /// Whether its first token arrived, so that its prefill is complete.
     pub prefilled: bool,
 }
 
@@ -116,11 +117,11 @@
             own_ahead: Tokens::default(),
             others: Others::default(),
         };
-        server.learn(1.0);
+        server.learn_others(1.0);
         server
     }
 
-    /// How to reach it.
+    /// The address of its current sidecar.
     pub fn target(&self) -> request::Target {
         request::Target {
             server: self.announced.server.clone(),
@@ -134,7 +135,7 @@
         !self.announced.leaving && now < self.expires
     }
 
-    /// Whether it has the model.
+    /// Whether it serves the model; true for `None`.
     pub fn serves(&self, model: Option<&str>) -> bool {
         model.is_none_or(|model| self.announced.models.iter().any(|known| known == model))
     }
@@ -142,32 +143,32 @@
     /// Prefill speed in tokens a second, never 0.
     pub fn rate(&self) -> u64 {
         match self.announced.load.prefill_rate {
-            0 => DEFAULT_RATE,
+            0 => DEFAULT_PREFILL_RATE,
             rate => rate,
         }
     }
 
-    /// Attempts that hold a slot: this entry's, and what others seem to have.
+    /// Attempts that hold a slot: this entry's, and an estimate of the others'.
     pub fn busy(&self) -> u32 {
         self.own_attempts + self.others.attempts.round() as u32
     }
 
-    /// Tokens of memory taken.
+    /// Tokens of memory in use: this entry's, and an estimate of the others'.
     pub fn used_tokens(&self) -> u64 {
         self.own_memory + self.others.memory as u64
     }
 
-    /// Prompt tokens to be prefilled before a new prompt of `class` gets its turn: this entry's,
-    /// and others', less what the engine did since the last report.
+    /// Prompt tokens to be prefilled before a new prompt of `class`: this entry's, and the others'
+    /// less what the engine can have prefilled since the last report.
     pub fn ahead(&self, now: Duration, class: run::Class) -> u64 {
         let age = now.saturating_sub(self.reported).as_secs_f64();
         let done = self.rate() as f64 * age;
         let others = (self.others.ahead[rank(class)] - done).max(0.0);
-        up_to(&self.own_ahead, class) + others as u64
+        sum_up_to(&self.own_ahead, class) + others as u64
     }
 
-    /// Takes the last report into the mean of the others' load.
-    fn learn(&mut self, gain: f64) {
+    /// Updates the mean of the others' load from the last report.
+    fn learn_others(&mut self, gain: f64) {
         let load = &self.announced.load;
         let less = |all: u64, own: u64| all.saturating_sub(own) as f64;
         let reported = [load.short_ahead, load.medium_ahead, load.all_ahead];
@@ -180,13 +181,13 @@
             ahead: [0.0; 3],
         };
         for (index, class) in CLASSES.into_iter().enumerate() {
-            let own = up_to(&self.own_ahead, class);
+            let own = sum_up_to(&self.own_ahead, class);
             sample.ahead[index] = less(reported[index], own);
         }
-        self.others.learn(&sample, gain);
+        self.others.blend(&sample, gain);
     }
 
-    /// Whether a long prompt is in prefill there.
+    /// Whether a long prompt is in prefill.
     pub fn has_long(&self) -> bool {
         let load = &self.announced.load;
         self.own_long > 0 || load.long > 0
@@ -195,7 +196,7 @@
     fn report(&mut self, now: Duration, announce: member::Announce, gain: f64) {
         self.reported = now;
         self.announced = announce;
-        self.learn(gain);
+        self.learn_others(gain);
     }
 
     fn add(&mut self, attempt: &Attempt) {
@@ -206,7 +207,7 @@
         self.own_ahead[rank(attempt.priority_class)] += attempt.uncached;
     }
 
-    /// Takes the prefill work of `attempt` out of the sums.
+    /// Removes the prefill work of `attempt` from the sums.
     fn end_prefill(&mut self, attempt: &Attempt) {
         let long = u32::from(attempt.class == run::Class::Long);
         self.own_long = self.own_long.saturating_sub(long);
@@ -227,7 +228,7 @@
 
 const CLASSES: [run::Class; 3] = [run::Class::Short, run::Class::Medium, run::Class::Long];
 
-/// Place of a class in [`Tokens`], in the order in which engines prefill.
+/// Index of a class in [`Tokens`], in the order in which engines prefill.
 fn rank(class: run::Class) -> usize {
     match class {
         run::Class::Short => 0,
@@ -236,19 +237,19 @@
     }
 }
 
-/// Tokens of `class` and those that go before it.
-fn up_to(tokens: &Tokens, class: run::Class) -> u64 {
+/// Tokens of `class` and of the classes prefilled before it.
+fn sum_up_to(tokens: &Tokens, class: run::Class) -> u64 {
     tokens[..=rank(class)].iter().sum()
 }
 
 /// What an announcement changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was older than what is known, or the table is full.
+    /// It was not newer than the last one, or the table is full.
     Ignored,
-    /// A server arrived, or a new life of its sidecar or engine.
+    /// It is the first of a server, or of a new incarnation of its sidecar or engine.
     Arrived(Index),
-    /// A report of a known server.
+    /// It is a report of a known server.
     Updated(Index),
 }
 
@@ -256,18 +257,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     servers: Vec<Option<Server>>,
-    free: Vec<Index>,
-    names: HashMap<String, Index>,
-    /// Invariant: each present server stands once, under its service, in the order of names.
-    services: HashMap<String, Vec<Index>>,
+    free_indices: Vec<Index>,
+    by_name: HashMap<String, Index>,
+    /// Invariant: each present server is listed once, under its service, in the order of names.
+    by_service: HashMap<String, Vec<Index>>,
     attempts: HashMap<id::Request, Attempt>,
 }
 
 impl Fleet {
-    /// Takes an announcement. An older life, or an older number within a life, changes nothing.
+    /// Applies an announcement. One of an older incarnation of the sidecar, or with an older number
+    /// of the same incarnation, changes nothing.
     pub fn announce(&mut self, now: Duration, announce: member::Announce) -> Change {
-        let Some(&index) = self.names.get(&announce.server) else {
-            return self.arrive(now, announce);
+        let Some(&index) = self.by_name.get(&announce.server) else {
+            return self.insert(now, announce);
         };
         let Some(server) = &mut self.servers[index] else {
             return Change::Ignored;
@@ -276,35 +278,35 @@
         if (announce.sidecar, announce.seq) <= known {
             return Change::Ignored;
         }
-        let same_life = announce.sidecar == server.announced.sidecar
+        let same_incarnation = announce.sidecar == server.announced.sidecar
             && announce.engine == server.announced.engine;
         if announce.service != server.announced.service {
             self.remove(index);
-            return self.arrive(now, announce);
+            return self.insert(now, announce);
         }
         server.expires = now + Duration::from_millis(announce.lease_ms);
-        server.report(now, announce, if same_life { GAIN } else { 1.0 });
-        if !same_life {
+        server.report(now, announce, if same_incarnation { GAIN } else { 1.0 });
+        if !same_incarnation {
             server.arrived = now;
             server.breaker = breaker::Breaker::default();
         }
-        if same_life {
+        if same_incarnation {
             Change::Updated(index)
         } else {
             Change::Arrived(index)
         }
     }
 
-    fn arrive(&mut self, now: Duration, announce: member::Announce) -> Change {
-        if self.names.len() >= MAX_SERVERS {
+    fn insert(&mut self, now: Duration, announce: member::Announce) -> Change {
+        if self.by_name.len() >= MAX_SERVERS {
             return Change::Ignored;
         }
-        let index = self.free.pop().unwrap_or_else(|| {
+        let index = self.free_indices.pop().unwrap_or_else(|| {
             self.servers.push(None);
             self.servers.len() - 1
         });
-        self.names.insert(announce.server.clone(), index);
-        let service = self.services.entry(announce.service.clone()).or_default();
+        self.by_name.insert(announce.server.clone(), index);
+        let service = self.by_service.entry(announce.service.clone()).or_default();
         let position = service.partition_point(|&other| {
             let other = self.servers[other].as_ref();
             other.is_some_and(|other| other.announced.server < announce.server)
@@ -318,33 +320,31 @@
         let Some(server) = self.servers[index].take() else {
             return;
         };
-        self.names.remove(&server.announced.server);
-        if let Some(list) = self.services.get_mut(&server.announced.service) {
+        self.by_name.remove(&server.announced.server);
+        if let Some(list) = self.by_service.get_mut(&server.announced.service) {
             list.retain(|&other| other != index);
             if list.is_empty() {
-                self.services.remove(&server.announced.service);
+                self.by_service.remove(&server.announced.service);
             }
         }
         self.attempts.retain(|_, attempt| attempt.server != index);
-        self.free.push(index);
+        self.free_indices.push(index);
     }
 
-    /// Removes servers whose lease ended and on which nothing of this entry runs; returns those
-    /// removed.
+    /// Removes and returns the servers whose lease ended and that have no attempts of this entry.
     pub fn expire(&mut self, now: Duration) -> Vec<Index> {
-        let gone: Vec<Index> = (0..self.servers.len())
+        let expired: Vec<Index> = (0..self.servers.len())
             .filter(|&index| {
                 self.server(index)
                     .is_some_and(|server| now >= server.expires && server.own_attempts == 0)
             })
             .collect();
-        for &index in &gone {
+        for &index in &expired {
             self.remove(index);
         }
-        gone
+        expired
     }
 
-    /// A server.
     pub fn server(&self, index: Index) -> Option<&Server> {
         self.servers.get(index)?.as_ref()
     }
@@ -361,10 +361,9 @@
 
     /// The servers of a service, by name.
     pub fn service(&self, service: &str) -> &[Index] {
-        self.services.get(service).map_or(&[], Vec::as_slice)
+        self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// A server, to change it.
     pub fn server_mut(&mut self, index: Index) -> Option<&mut Server> {
         self.servers.get_mut(index)?.as_mut()
     }
@@ -375,12 +374,12 @@
         servers.filter_map(|(index, server)| Some((index, server.as_ref()?)))
     }
 
-    /// Place of a server by its name.
+    /// Index of a server by its name.
     pub fn index(&self, server: &str) -> Option<Index> {
-        self.names.get(server).copied()
+        self.by_name.get(server).copied()
     }
 
-    /// Counts an attempt in. One that the request had elsewhere is counted out.
+    /// Adds the attempt of a request, and removes its previous one.
     pub fn add_attempt(&mut self, request: id::Request, attempt: Attempt) {
         self.remove_attempt(request);
         if let Some(Some(server)) = self.servers.get_mut(attempt.server) {
@@ -394,7 +393,8 @@
         self.attempts.get(&request)
     }
 
-    /// The request's first token came: its prefill is done. Returns the time from its placing.
+    /// Records the first token of a request, which ends its prefill. Returns the time since it was
+    /// placed; `None` if there was a first token before.
     pub fn first_output(&mut self, now: Duration, request: id::Request) -> Option<Duration> {
         let attempt = self.attempts.get_mut(&request)?;
         if attempt.prefilled {
@@ -406,7 +406,7 @@
         Some(now.saturating_sub(attempt.placed))
     }
 
-    /// Counts the attempt of a request out.
+    /// Removes the attempt of a request.
     pub fn remove_attempt(&mut self, request: id::Request) -> Option<Attempt> {
         let attempt = self.attempts.remove(&request)?;
         if let Some(Some(server)) = self.servers.get_mut(attempt.server) {
@@ -415,20 +415,21 @@
         Some(attempt)
     }
 
-    /// Marks the servers with a prefill of this entry that takes more than `slow` times its own
-    /// length, and more than `least`; of each service a quarter at the most.
-    pub fn protect(&mut self, now: Duration, slow: f64, least: Duration) {
+    /// Marks as protected the servers on which a prefill of this entry has taken longer than
+    /// `min_age` and than `slow_factor` times its predicted duration. Of each service a quarter at
+    /// most is marked, those with the oldest prefills first.
+    pub fn protect(&mut self, now: Duration, slow_factor: f64, min_age: Duration) {
         let mut marked: HashMap<Index, Duration> = HashMap::new();
-        // A workspace over its share goes after the others on purpose.
-        let awaited =
+        // Prefills of workspaces over their share are slow on purpose: they come after the others.
+        let is_waiting =
             |attempt: &&Attempt| !attempt.prefilled && attempt.priority_class <= attempt.class;
-        for attempt in self.attempts.values().filter(awaited) {
+        for attempt in self.attempts.values().filter(is_waiting) {
             let Some(Some(server)) = self.servers.get(attempt.server) else {
                 continue;
             };
             let own = attempt.uncached as f64 / server.rate() as f64;
             let age = now.saturating_sub(attempt.placed);
-            if age > least && age.as_secs_f64() > slow * own {
+            if age > min_age && age.as_secs_f64() > slow_factor * own {
                 let oldest = marked.entry(attempt.server).or_insert(attempt.placed);
                 *oldest = attempt.placed.min(*oldest);
             }
@@ -436,14 +437,17 @@
         for server in self.servers.iter_mut().flatten() {
             server.protected = false;
         }
-        for list in self.services.values() {
+        for list in self.by_service.values() {
             let slow = list
                 .iter()
                 .filter_map(|index| Some((marked.get(index)?, *index)));
             let mut slow: Vec<(&Duration, Index)> = slow.collect();
             slow.sort_unstable();
-            let most = list.len().div_ceil(PROTECTED).min(list.len() / 2);
-            for (_, index) in slow.into_iter().take(most) {
+            let limit = list
+                .len()
+                .div_ceil(SERVERS_PER_PROTECTED)
+                .min(list.len() / 2);
+            for (_, index) in slow.into_iter().take(limit) {
                 if let Some(Some(server)) = self.servers.get_mut(index) {
                     server.protected = true;
                 }
@@ -451,7 +455,7 @@
         }
     }
 
-    /// Takes the exact load that came with a refusal.
+    /// Applies the exact load that came with a refusal.
     pub fn set_load(&mut self, now: Duration, index: Index, load: member::Load) {
         if let Some(Some(server)) = self.servers.get_mut(index) {
             let mut announce = server.announced.clone();
--- a/src/entry/gang.rs
+++ b/src/entry/gang.rs
@@ -1,11 +1,12 @@
-//! A prompt that is larger than one engine, served by several: a gang.
+//! A gang: several engines that together serve a prompt larger than one of them can hold.
 //!
-//! A pure state machine between a request's wish for a place and its final run. The members are
-//! reserved one by one in the global order of their servers' names, all or nothing: whoever is
-//! refused releases what it has at once and tries again after a pause, so nobody ever waits while
-//! holding, and gangs cannot deadlock. Then the segments are prefilled in sequence, each as the
-//! continuation of those before. With all of them held the request's final run may start; the
-//! members are held to its end. The loss of any member at any time releases all others.
+//! A pure state machine that runs between the router's placement of a request and its final run.
+//! The members are reserved one by one in the global order of their servers' names, all or nothing.
+//! A gang that is refused one releases the others at once and tries again after a back-off. No gang
+//! waits while it holds a reservation, so gangs cannot deadlock. Then the segments of the prompt are
+//! prefilled in sequence, each as the continuation of those before. When all are held, the final run
+//! of the request may start; the members are held until it ends. The loss of any member at any time
+//! releases all others.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -28,66 +29,65 @@
 use member::Step;
 use plan::Plan;
 
-/// Numbers of segments' attempts start here; those of runs stay below.
-pub const FIRST_NUMBER: u32 = 1 << 31;
+/// First attempt number of segments. The attempt numbers of runs stay below it.
+pub const FIRST_SEGMENT_NUMBER: u32 = 1 << 31;
 
-/// Losses of members that one request is started again after.
+/// Losses of members after which one request starts over; the next one fails it.
 pub const MAX_LOSSES: u32 = 4;
 
-/// Engines that may die under the prefill of one request before it is refused as quarantined.
-pub const MAX_DEATHS: u32 = 2;
+/// Backend servers lost during the prefill of one request after which it is quarantined.
+pub const MAX_SERVER_LOSSES: u32 = 2;
 
-/// First pause after a refusal, and the longest; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(40);
-const LAST_PAUSE: Duration = Duration::from_millis(2_000);
+/// First and longest back-off after a refusal; it doubles with each consecutive one.
+const FIRST_BACKOFF: Duration = Duration::from_millis(40);
+const MAX_BACKOFF: Duration = Duration::from_millis(2_000);
 
-/// Shortest pause, also of a gang that is about to miss its time limit.
-const MIN_PAUSE: Duration = Duration::from_millis(10);
+/// Shortest back-off, also of a gang close to its deadline.
+const MIN_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Pause before the router is asked again for members with room.
-const PLAN_PAUSE: Duration = Duration::from_millis(200);
+/// Time before the router is asked again for members with free memory.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// When to come back, where nobody says better.
-const RETRY_AFTER_MS: u64 = 1_000;
+/// Retry-after of failures that bring none of their own.
+const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// When to come back for a request that crashed backend servers.
-const QUARANTINE_RETRY_MS: u64 = 60_000;
+/// Retry-after of a request that crashed backend servers.
+const QUARANTINE_RETRY_AFTER_MS: u64 = 60_000;
 
-/// What a gang is for.
+/// The request that a gang serves.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// The request.
     pub request: id::Request,
     /// The prompt's text.
     pub body: Bytes,
     /// Most tokens to generate.
     pub max_tokens: u32,
-    /// When the request came.
+    /// When the request arrived.
     pub accepted: Duration,
-    /// When it must have its final answer.
+    /// When its final response is due.
     pub deadline: Duration,
-    /// Seed of the pauses' jitter.
+    /// Seed of the back-offs' jitter.
     pub seed: u64,
 }
 
-/// What happened.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The router's word on the members.
+    /// The router chose members, or found none free.
     Planned(Plan),
-    /// A reply came, on whatever stream of a segment.
+    /// A reply arrived, on any stream of a segment.
     Reply(run::Reply),
     /// The stream of this segment's attempt failed or ended.
     Lost(id::Attempt),
-    /// The final run is over without a whole answer, and the request may be tried again.
+    /// The final run ended without a complete response, and the request may be retried.
     Restart,
-    /// The request is over.
+    /// The request has ended.
     Close,
 }
 
-/// What to do.
+/// Output of the state machine, for its driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Ask the router for members.
@@ -97,82 +97,82 @@
     },
     /// Open a stream to the target and offer a segment.
     Offer {
-        /// Where.
+        /// Backend server to offer it to.
         target: request::Target,
-        /// As what.
+        /// Id of the segment's attempt.
         attempt: id::Attempt,
-        /// Its part of the prompt.
+        /// Bytes of the prompt that form the segment.
         segment: Range<usize>,
-        /// Estimated tokens of it.
+        /// Estimated tokens of the segment.
         tokens: u64,
-        /// Tokens to keep for the final run.
+        /// Tokens of memory to reserve for the final run too.
         final_tokens: u64,
     },
-    /// Send `Hold`.
+    /// Send `Hold`, with the segments before it as context.
     Hold(id::Attempt, Vec<run::Context>),
-    /// Open a new stream to the target and query.
+    /// Open a new stream to the target and query the attempt.
     Query(request::Target, id::Attempt),
     /// Send `Cancel`, on the stream if it is open, else on a new one to the target.
     Cancel(request::Target, id::Attempt),
-    /// A part of so many bytes has so many tokens.
+    /// Report the length of a segment, in bytes and in tokens, to the router's estimate.
     Learn(u64, u64),
     /// All segments are held: the final run may start.
     Ready {
-        /// Where.
+        /// Backend server of the final run.
         target: request::Target,
         /// The segments, in order.
         context: Vec<run::Context>,
-        /// Where the tail of the prompt starts.
+        /// Byte at which the tail, the prompt of the final run, starts.
         tail: usize,
     },
-    /// A member was lost under the final run, which must be stopped.
+    /// A member was lost during the final run: stop the run.
     StopRun(outcome::Failure),
-    /// There is no place for the request. The last action.
+    /// The gang failed. No action follows.
     Fail(outcome::Failure),
 }
 
-/// Where a gang is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Waits for the router.
+    /// Waits for the router's plan.
     Planning,
-    /// Has nothing, and plans again at this time. Invariant: no members.
-    Pausing(Duration),
+    /// Plans again at this time. Invariant: no members.
+    BackingOff(Duration),
     /// Reserves the member with this number.
     Reserving(usize),
     /// Prefills the segment with this number.
-    Filling(usize),
-    /// All are held; the final run goes on.
+    Prefilling(usize),
+    /// All segments are held for the final run.
     Ready,
-    /// The final run was told to stop; `Restart` or `Close` follows. Invariant: no members.
+    /// The final run is being stopped; `Restart` or `Close` follows. Invariant: no members.
     Idle,
-    /// It is over. Invariant: no members.
+    /// It has ended. Invariant: no members.
     Over,
 }
 
-/// A gang on its way.
+/// A gang and its progress.
 #[derive(Clone, Debug)]
 pub struct Gang {
     profile: Profile,
     phase: Phase,
-    /// In the global order: by the name of the server. Those up to the one being reserved were
-    /// offered.
+    /// Members that were offered a segment, in the global order: by the name of the server.
     members: Vec<Member>,
-    /// What was planned and not yet offered, the next one last.
+    /// Segments that are planned but not offered yet, the next one last.
     planned: Vec<(plan::Share, Range<usize>)>,
-    /// Attempts so far. Invariant: a number is offered once.
+    /// Attempts so far. Invariant: each attempt number is offered only once.
     attempts: u32,
-    /// Refusals in a row.
+    /// Consecutive refusals.
     refusals: u32,
+    /// Losses of members, for any reason.
     losses: u32,
-    deaths: u32,
+    /// Losses of members whose backend server was lost.
+    server_losses: u32,
     /// Whether the next plan follows a loss.
     retry: bool,
     rng: rngs::SmallRng,
 }
 
 impl Gang {
-    /// A gang that waits for its first plan.
+    /// A gang that waits for its first [`Event::Planned`].
     pub fn new(profile: Profile) -> Self {
         let rng = rngs::SmallRng::seed_from_u64(profile.seed);
         Self {
@@ -183,18 +183,18 @@
             attempts: 0,
             refusals: 0,
             losses: 0,
-            deaths: 0,
+            server_losses: 0,
             retry: false,
             rng,
         }
     }
 
-    /// Whether an attempt is one of a segment.
+    /// Whether an attempt is that of a segment.
     pub fn is_segment(attempt: id::Attempt) -> bool {
-        attempt.number >= FIRST_NUMBER
+        attempt.number >= FIRST_SEGMENT_NUMBER
     }
 
-    /// Takes an event.
+    /// Handles an event. Returns the actions to carry out, in order.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         if self.phase == Phase::Over {
@@ -217,7 +217,7 @@
             Event::Reply(reply) => self.reply(now, reply, &mut out),
             Event::Lost(attempt) => {
                 if let Some(at) = self.position(attempt)
-                    && !self.members[at].lose(now)
+                    && !self.members[at].on_stream_lost(now)
                 {
                     self.lost(now, at, &mut out);
                 }
@@ -237,20 +237,20 @@
     /// When `Tick` is due next.
     pub fn wake(&self) -> Duration {
         let members = self.members.iter().filter_map(Member::wake);
-        let pause = match self.phase {
-            Phase::Pausing(until) => Some(until),
+        let backoff = match self.phase {
+            Phase::BackingOff(until) => Some(until),
             _ => None,
         };
-        let wake = members.chain(pause).min();
+        let wake = members.chain(backoff).min();
         wake.map_or(self.profile.deadline, |at| at.min(self.profile.deadline))
     }
 
-    /// Members that hold something, or may.
+    /// Members that have a reservation or a segment, or may have.
     pub fn members(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether it is over.
+    /// Whether it has ended.
     pub fn is_over(&self) -> bool {
         self.phase == Phase::Over
     }
@@ -265,17 +265,17 @@
     }
 
     fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if let Phase::Pausing(until) = self.phase {
+        if let Phase::BackingOff(until) = self.phase {
             if until <= now {
                 self.plan(out);
             }
             return;
         }
-        if let Some(at) = self.members.iter().position(|m| m.is_gone(now)) {
+        if let Some(at) = self.members.iter().position(|m| m.is_lost(now)) {
             return self.lost(now, at, out);
         }
         for member in self.members.iter_mut().filter(|m| m.is_due(now)) {
-            member.ask(now);
+            member.on_query(now);
             out.push(Action::Query(member.target.clone(), member.attempt));
         }
     }
@@ -286,17 +286,17 @@
         }
         let shares = match plan {
             Plan::Wait => {
-                let pause = PLAN_PAUSE.mul_f64(self.jitter());
-                self.phase = Phase::Pausing(now + pause);
+                let interval = PLAN_INTERVAL.mul_f64(self.jitter());
+                self.phase = Phase::BackingOff(now + interval);
                 return;
             }
             Plan::Members(shares) => shares,
         };
         self.retry = false;
-        let parts = plan::split(&self.profile.body, &shares);
+        let segments = plan::split(&self.profile.body, &shares);
         self.planned = shares
             .into_iter()
-            .zip(parts)
+            .zip(segments)
             .filter(|(_, segment)| !segment.is_empty())
             .collect();
         self.planned
@@ -304,7 +304,7 @@
         if self.planned.is_empty() {
             let failure = outcome::Failure::not_run(
                 Cause::Internal,
-                Some(RETRY_AFTER_MS),
+                Some(DEFAULT_RETRY_AFTER_MS),
                 "the prompt could not be split",
             );
             return self.fail(failure, out);
@@ -316,12 +316,12 @@
     fn reserve(&mut self, now: Duration, out: &mut Vec<Action>) {
         let Some((share, segment)) = self.planned.pop() else {
             self.refusals = 0;
-            return self.fill(now, 0, out);
+            return self.prefill(now, 0, out);
         };
         self.phase = Phase::Reserving(self.members.len());
         let attempt = id::Attempt {
             request: self.profile.request,
-            number: FIRST_NUMBER + self.attempts,
+            number: FIRST_SEGMENT_NUMBER + self.attempts,
         };
         self.attempts += 1;
         let final_tokens = if self.planned.is_empty() {
@@ -348,7 +348,7 @@
     }
 
     /// Starts the prefill of a segment, or the final run when all are held.
-    fn fill(&mut self, now: Duration, at: usize, out: &mut Vec<Action>) {
+    fn prefill(&mut self, now: Duration, at: usize, out: &mut Vec<Action>) {
         let context: Vec<run::Context> = self
             .members
             .iter()
@@ -358,10 +358,10 @@
             })
             .collect();
         if let Some(member) = self.members.get_mut(at) {
-            member.step = Step::Filling;
-            member.heard(now);
+            member.step = Step::Prefilling;
+            member.on_reply(now);
             out.push(Action::Hold(member.attempt, context));
-            self.phase = Phase::Filling(at);
+            self.phase = Phase::Prefilling(at);
             return;
         }
         self.phase = Phase::Ready;
@@ -382,24 +382,24 @@
             run::Reply::Reserved(_) => {
                 if self.phase == Phase::Reserving(at) {
                     self.members[at].step = Step::Reserved;
-                    self.members[at].heard(now);
+                    self.members[at].on_reply(now);
                     self.reserve(now, out);
                 }
             }
             run::Reply::Started(_) => {
                 if !matches!(self.members[at].step, Step::Offered) {
-                    self.members[at].heard(now);
+                    self.members[at].on_reply(now);
                 }
             }
             run::Reply::Held {
                 segment, tokens, ..
             } => {
-                self.members[at].heard(now);
-                if self.phase == Phase::Filling(at) {
+                self.members[at].on_reply(now);
+                if self.phase == Phase::Prefilling(at) {
                     let member = &mut self.members[at];
                     member.step = Step::Held(segment);
                     out.push(Action::Learn(member.segment.len() as u64, tokens));
-                    self.fill(now, at + 1, out);
+                    self.prefill(now, at + 1, out);
                 }
             }
             run::Reply::Refused { failure, .. } => {
@@ -411,38 +411,38 @@
                 self.failed(now, failure, out);
             }
             run::Reply::Unknown(_) => self.lost(now, at, out),
-            // Of a run, which is no segment.
+            // Belong to a run, not to a segment.
             run::Reply::Head { .. } | run::Reply::Chunk { .. } | run::Reply::Done { .. } => {}
         }
     }
 
-    /// A member was not reserved, or its reservation was taken back: nothing of it ran.
+    /// A member was not reserved, or its reservation was withdrawn: nothing of it ran.
     fn refused(&mut self, now: Duration, failure: outcome::Failure, out: &mut Vec<Action>) {
         if matches!(self.phase, Phase::Ready) {
-            return self.break_up(failure, out);
+            return self.stop_run(failure, out);
         }
         self.release(out);
         if is_final(failure.cause) {
             return self.fail(failure, out);
         }
-        let pause = FIRST_PAUSE * 2u32.saturating_pow(self.refusals.min(8));
+        let backoff = FIRST_BACKOFF * 2u32.saturating_pow(self.refusals.min(8));
         self.refusals += 1;
-        self.pause(now, pause.min(LAST_PAUSE));
+        self.back_off(now, backoff.min(MAX_BACKOFF));
     }
 
     /// A member's segment was lost.
     fn failed(&mut self, now: Duration, failure: outcome::Failure, out: &mut Vec<Action>) {
-        self.deaths += u32::from(failure.cause == Cause::ServerLost);
+        self.server_losses += u32::from(failure.cause == Cause::ServerLost);
         if self.phase == Phase::Ready {
-            return self.break_up(failure, out);
+            return self.stop_run(failure, out);
         }
         self.release(out);
         self.losses += 1;
         self.retry = true;
-        if self.deaths >= MAX_DEATHS {
+        if self.server_losses >= MAX_SERVER_LOSSES {
             let failure = outcome::Failure::not_run(
                 Cause::Quarantined,
-                Some(QUARANTINE_RETRY_MS),
+                Some(QUARANTINE_RETRY_AFTER_MS),
                 "backend servers were lost under the prefill of this request",
             );
             return self.fail(failure, out);
@@ -450,25 +450,26 @@
         if is_final(failure.cause) || self.losses > MAX_LOSSES {
             return self.fail(failure, out);
         }
-        self.pause(now, FIRST_PAUSE);
+        self.back_off(now, FIRST_BACKOFF);
     }
 
-    /// Contact to a member is lost; what it holds is released with the others.
+    /// Contact to a member was lost. It is released with the others.
     fn lost(&mut self, now: Duration, at: usize, out: &mut Vec<Action>) {
         let server = &self.members[at].target.server;
         let message = format!("contact to {server}, which held part of the prompt, was lost");
-        let failure = outcome::Failure::not_run(Cause::NoServer, Some(RETRY_AFTER_MS), &message);
+        let failure =
+            outcome::Failure::not_run(Cause::NoServer, Some(DEFAULT_RETRY_AFTER_MS), &message);
         self.failed(now, failure, out);
     }
 
-    /// A member is gone under the final run.
-    fn break_up(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
+    /// A member was lost during the final run.
+    fn stop_run(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
         self.release(out);
         self.phase = Phase::Idle;
         out.push(Action::StopRun(failure));
     }
 
-    /// Gives everything back.
+    /// Cancels all members.
     fn release(&mut self, out: &mut Vec<Action>) {
         self.planned.clear();
         for member in self.members.drain(..) {
@@ -476,34 +477,34 @@
         }
     }
 
-    /// Tries again later: the sooner, the more of its time limit is gone, so that an old gang
-    /// comes before a young one.
-    fn pause(&mut self, now: Duration, pause: Duration) {
+    /// Plans again later. The more of the time limit has elapsed, the shorter the back-off, so that
+    /// old gangs are favoured over new ones.
+    fn back_off(&mut self, now: Duration, backoff: Duration) {
         let accepted = self.profile.accepted;
         let limit = self.profile.deadline.saturating_sub(accepted);
         let left = self.profile.deadline.saturating_sub(now);
-        let young = left.as_secs_f64() / limit.as_secs_f64().max(1e-3);
-        let pause = pause.mul_f64(young.clamp(0.0, 1.0) * self.jitter());
-        self.phase = Phase::Pausing(now + pause.max(MIN_PAUSE));
+        let left_part = left.as_secs_f64() / limit.as_secs_f64().max(1e-3);
+        let backoff = backoff.mul_f64(left_part.clamp(0.0, 1.0) * self.jitter());
+        self.phase = Phase::BackingOff(now + backoff.max(MIN_BACKOFF));
     }
 
     fn jitter(&mut self) -> f64 {
         self.rng.random_range(0.5..1.5)
     }
 
-    /// The prefill of segments is no run of the request, so it did not run.
+    /// Fails the request. The prefill of segments does not count as running it.
     fn fail(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
         self.release(out);
         self.phase = Phase::Over;
         out.push(Action::Fail(outcome::Failure {
             ran: outcome::Ran::NotRun,
-            retry_after_ms: failure.retry_after_ms.or(Some(RETRY_AFTER_MS)),
+            retry_after_ms: failure.retry_after_ms.or(Some(DEFAULT_RETRY_AFTER_MS)),
             ..failure
         }));
     }
 }
 
-/// Whether no other members would make it otherwise.
+/// Whether other members would fail with the same cause.
 fn is_final(cause: Cause) -> bool {
     matches!(
         cause,
--- a/src/entry/gang/member.rs
+++ b/src/entry/gang/member.rs
@@ -1,4 +1,4 @@
-//! One member of a gang: its attempt, and when to ask after it.
+//! One member of a gang: its attempt, and when to query it.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,19 +7,19 @@
 use crate::wire::id;
 use crate::wire::run;
 
-/// How long a member may take to reserve; its part of the prompt is sent in that time.
+/// How long a member may take to reserve. The time includes sending it its segment.
 pub const RESERVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A member that says nothing for this long is asked.
-pub const SILENCE: Duration = Duration::from_secs(5);
+/// How long a member may be silent before it is queried.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// First pause before a member that lost contact is asked again; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// First back-off before a query to a member whose stream was lost; it doubles with each query.
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long contact to a member may be lost. Less than the sidecar's resume grace.
-pub const GRACE: Duration = Duration::from_millis(1_500);
+/// How long contact to a member may be lost. Must be less than the sidecar's resume grace.
+pub const CONTACT_GRACE: Duration = Duration::from_millis(1_500);
 
-/// How far a member is.
+/// Progress of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// It was offered its segment.
@@ -27,36 +27,33 @@
     /// Its memory is reserved.
     Reserved,
     /// Its segment is being prefilled.
-    Filling,
+    Prefilling,
     /// It holds its segment.
     Held(run::Context),
 }
 
-/// One member.
+/// A member of a gang.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Where.
     pub target: request::Target,
-    /// Its attempt.
     pub attempt: id::Attempt,
-    /// Its part of the prompt.
+    /// Bytes of the prompt that form its segment.
     pub segment: Range<usize>,
-    /// Estimated tokens of it.
+    /// Estimated tokens of the segment.
     pub tokens: u64,
-    /// Tokens that it keeps for the final run.
+    /// Tokens of memory that it reserves for the final run.
     pub final_tokens: u64,
-    /// How far it is.
     pub step: Step,
-    /// Since when contact is lost.
-    lost: Option<Duration>,
-    /// When it is asked, or given up if it has not reserved by then.
-    due: Option<Duration>,
-    /// Questions since the last reply.
-    asked: u32,
+    /// When contact was lost.
+    lost_since: Option<Duration>,
+    /// When it is queried; before it has reserved, when it times out.
+    due_at: Option<Duration>,
+    /// Queries since the last reply.
+    queries: u32,
 }
 
 impl Member {
-    /// A member that was just offered its segment.
+    /// A member that was just offered a segment.
     pub fn new(
         now: Duration,
         target: request::Target,
@@ -72,57 +69,60 @@
             tokens,
             final_tokens,
             step: Step::Offered,
-            lost: None,
-            due: Some(now + RESERVE_TIMEOUT),
-            asked: 0,
+            lost_since: None,
+            due_at: Some(now + RESERVE_TIMEOUT),
+            queries: 0,
         }
     }
 
-    /// A step was made, or a reply came: there is contact.
-    pub fn heard(&mut self, now: Duration) {
-        self.lost = None;
-        self.asked = 0;
-        self.due = match self.step {
-            Step::Offered => self.due,
-            // A question would withdraw it.
+    /// A reply arrived or the next step was taken, so there is contact.
+    pub fn on_reply(&mut self, now: Duration) {
+        self.lost_since = None;
+        self.queries = 0;
+        self.due_at = match self.step {
+            Step::Offered => self.due_at,
+            // A query would withdraw the reservation.
             Step::Reserved => None,
-            Step::Filling | Step::Held(_) => Some(now + SILENCE),
+            Step::Prefilling | Step::Held(_) => Some(now + SILENCE_TIMEOUT),
         };
     }
 
-    /// Its stream is gone: ask after a pause. `false`: its sidecar has withdrawn it by that.
-    pub fn lose(&mut self, now: Duration) -> bool {
+    /// Its stream was lost: a query is due after a back-off. `false`: it has no segment yet, so the
+    /// loss makes its sidecar withdraw the reservation.
+    pub fn on_stream_lost(&mut self, now: Duration) -> bool {
         if matches!(self.step, Step::Offered | Step::Reserved) {
             return false;
         }
-        self.lost.get_or_insert(now);
-        self.due = Some(now + FIRST_PAUSE * 2u32.saturating_pow(self.asked.min(5)));
+        self.lost_since.get_or_insert(now);
+        self.due_at = Some(now + FIRST_BACKOFF * 2u32.saturating_pow(self.queries.min(5)));
         true
     }
 
-    /// It was asked; the answer is due within the grace.
-    pub fn ask(&mut self, now: Duration) {
-        self.asked += 1;
-        self.lost.get_or_insert(now);
-        self.due = Some(now + GRACE);
+    /// A query was sent; the reply is due within [`CONTACT_GRACE`].
+    pub fn on_query(&mut self, now: Duration) {
+        self.queries += 1;
+        self.lost_since.get_or_insert(now);
+        self.due_at = Some(now + CONTACT_GRACE);
     }
 
-    /// Whether something is due.
+    /// Whether a query or the timeout is due.
     pub fn is_due(&self, now: Duration) -> bool {
-        self.due.is_some_and(|due| due <= now)
+        self.due_at.is_some_and(|at| at <= now)
     }
 
-    /// Whether it is given up: it did not reserve in time, or contact is lost for too long.
-    pub fn is_gone(&self, now: Duration) -> bool {
+    /// Whether it did not reserve in time, or contact has been lost for too long.
+    pub fn is_lost(&self, now: Duration) -> bool {
         match self.step {
             Step::Offered => self.is_due(now),
-            _ => self.lost.is_some_and(|since| since + GRACE <= now),
+            _ => self
+                .lost_since
+                .is_some_and(|since| since + CONTACT_GRACE <= now),
         }
     }
 
-    /// When time brings something.
+    /// When a query or a timeout is due next.
     pub fn wake(&self) -> Option<Duration> {
-        let stale = self.lost.map(|since| since + GRACE);
-        stale.into_iter().chain(self.due).min()
+        let lost_at = self.lost_since.map(|since| since + CONTACT_GRACE);
+        lost_at.into_iter().chain(self.due_at).min()
     }
 }
--- a/src/entry/gang/plan.rs
+++ b/src/entry/gang/plan.rs
@@ -1,4 +1,4 @@
-//! Which engines serve a prompt together, and which part of it each holds.
+//! Which engines serve a prompt together, and which segment of it each holds.
 
 use std::ops::Range;
 
@@ -8,66 +8,66 @@
 /// Most engines that serve one prompt.
 pub const MAX_MEMBERS: usize = 16;
 
-/// Bytes at the prompt's end that belong to no segment: the prompt of the final run.
+/// Bytes at the prompt's end that belong to no segment. They are the prompt of the final run.
 pub const TAIL_BYTES: usize = 1_024;
 
-/// Tokens of the tail at the most.
+/// Most tokens of the tail.
 pub const MAX_TAIL_TOKENS: u64 = TAIL_BYTES as u64;
 
-/// A guess takes at most all but one part in so many of the memory that there is.
-const GUESS_PARTS: u64 = 4;
+/// A prompt whose length is a guess is assumed to need at most all but one part in this many of the
+/// candidates' memory.
+const GUESS_MEMORY_PARTS: u64 = 4;
 
 /// An engine that could be a member.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Where.
     pub target: request::Target,
-    /// Tokens that it can hold for long work when nothing else runs there.
+    /// Tokens that it can hold for long work when nothing else runs on it.
     pub memory: u64,
     /// Of these, tokens that are free now.
     pub free: u64,
-    /// Prompt tokens to be prefilled there before.
+    /// Prompt tokens to be prefilled before on it.
     pub ahead: u64,
-    /// Use it only if there is no other.
+    /// Whether to use it only if there is no other.
     pub avoid: bool,
 }
 
-/// A member's share.
+/// A member's share of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Where.
     pub target: request::Target,
     /// Estimated tokens of its segment.
     pub tokens: u64,
 }
 
-/// The members of a gang.
+/// What a gang is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// These, in the global order: by the name of the server. The last one answers.
+    /// Reserve these members, in the global order: by the name of the server. The last one does the
+    /// final run.
     Members(Vec<Share>),
-    /// Their memory is not free yet.
+    /// Wait until enough memory is free.
     Wait,
 }
 
-/// What the candidates allow.
+/// Whether the candidates can hold a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// These can take it now.
+    /// These can hold it now.
     Now(Vec<Share>),
-    /// These will be able to, once they have room.
+    /// The servers with these names can hold it once enough of their memory is free.
     Later(Vec<String>),
-    /// All together are too small.
+    /// All together have too little memory.
     Never,
 }
 
-/// Tokens that the answering member keeps for the final run.
+/// Tokens of memory that the last member reserves for the final run.
 pub fn final_run_tokens(max_tokens: u32) -> u64 {
     room::segment(MAX_TAIL_TOKENS, u64::from(max_tokens))
 }
 
-/// Chooses the fewest members for a prompt of `tokens`. If that is a guess and the candidates
-/// cannot hold it, all of them are tried.
+/// Chooses the fewest members for a prompt of `tokens`. If that length is a guess, no more is
+/// required than the candidates can hold, less one part in [`GUESS_MEMORY_PARTS`].
 pub fn choose(candidates: &[Candidate], tokens: u64, max_tokens: u32, is_guess: bool) -> Decision {
     let mut ranked: Vec<&Candidate> = candidates.iter().collect();
     ranked.sort_by(|a, b| {
@@ -76,37 +76,37 @@
             .cmp(&rank(b))
             .then(a.target.server.cmp(&b.target.server))
     });
-    let kept = final_run_tokens(max_tokens);
-    let need = room::segment(tokens, kept);
-    let largest = most(candidates, |c| c.memory);
+    let final_tokens = final_run_tokens(max_tokens);
+    let need = room::segment(tokens, final_tokens);
+    let total = total_memory(candidates, |c| c.memory);
     let need_now = if is_guess {
-        need.min(largest / GUESS_PARTS * (GUESS_PARTS - 1))
+        need.min(total / GUESS_MEMORY_PARTS * (GUESS_MEMORY_PARTS - 1))
     } else {
         need
     };
-    if most(candidates, |c| c.free) >= need_now {
-        let members = take(&ranked, need_now, |c| c.free);
-        if let Some(shares) = share(&members, tokens, kept, is_guess) {
+    if total_memory(candidates, |c| c.free) >= need_now {
+        let members = take_until(&ranked, need_now, |c| c.free);
+        if let Some(shares) = split_tokens(&members, tokens, final_tokens, is_guess) {
             return Decision::Now(shares);
         }
     }
     ranked.sort_by_key(|c| (c.avoid, c.memory - c.free.min(c.memory)));
-    if largest < need_now {
+    if total < need_now {
         return Decision::Never;
     }
-    let members = take(&ranked, need_now, |c| c.memory);
+    let members = take_until(&ranked, need_now, |c| c.memory);
     Decision::Later(members.iter().map(|c| c.target.server.clone()).collect())
 }
 
-/// What the [`MAX_MEMBERS`] candidates with the most have together.
-fn most(candidates: &[Candidate], memory: impl Fn(&Candidate) -> u64) -> u64 {
-    let mut all: Vec<u64> = candidates.iter().map(memory).collect();
-    all.sort_unstable_by_key(|memory| u64::MAX - memory);
-    all.iter().take(MAX_MEMBERS).sum()
+/// Sum of `memory` over the [`MAX_MEMBERS`] candidates with the most of it.
+fn total_memory(candidates: &[Candidate], memory: impl Fn(&Candidate) -> u64) -> u64 {
+    let mut sizes: Vec<u64> = candidates.iter().map(memory).collect();
+    sizes.sort_unstable_by_key(|memory| u64::MAX - memory);
+    sizes.iter().take(MAX_MEMBERS).sum()
 }
 
-/// The first candidates that have `need` together.
-fn take<'a>(
+/// The first candidates that together have `need`.
+fn take_until<'a>(
     ranked: &[&'a Candidate],
     need: u64,
     memory: impl Fn(&Candidate) -> u64,
@@ -123,51 +123,56 @@
     members
 }
 
-/// Shares the tokens out by free memory, in the global order. `None`: the one that answers has no
-/// room for that.
-fn share(members: &[&Candidate], tokens: u64, kept: u64, is_guess: bool) -> Option<Vec<Share>> {
+/// Splits the tokens by free memory, in the global order. `None`: the members have too little of
+/// it, or the last one none besides the final run's.
+fn split_tokens(
+    members: &[&Candidate],
+    tokens: u64,
+    final_tokens: u64,
+    is_guess: bool,
+) -> Option<Vec<Share>> {
     let mut members = members.to_vec();
     members.sort_by(|a, b| a.target.server.cmp(&b.target.server));
     let last = members.len().checked_sub(1)?;
-    let rooms: Vec<u64> = members
+    let capacities: Vec<u64> = members
         .iter()
         .enumerate()
-        .map(|(at, c)| room::segment_within(c.free, if at == last { kept } else { 0 }))
+        .map(|(at, c)| room::segment_within(c.free, if at == last { final_tokens } else { 0 }))
         .collect();
-    let sum: u64 = rooms.iter().sum();
-    let is_short = sum + members.len() as u64 <= tokens;
-    if rooms.contains(&0) || (is_short && !is_guess) {
+    let sum: u64 = capacities.iter().sum();
+    let is_too_small = sum + members.len() as u64 <= tokens;
+    if capacities.contains(&0) || (is_too_small && !is_guess) {
         return None;
     }
-    // A guess may be more than there is room for; rounding takes a token off each.
+    // A guess may exceed the capacity. Rounding takes up to a token off each share.
     let tokens = tokens.min(sum);
-    let shares = members.iter().zip(&rooms).map(|(c, room)| Share {
+    let shares = members.iter().zip(&capacities).map(|(c, capacity)| Share {
         target: c.target.clone(),
-        tokens: (u128::from(tokens) * u128::from(*room) / u128::from(sum)) as u64,
+        tokens: (u128::from(tokens) * u128::from(*capacity) / u128::from(sum)) as u64,
     });
     Some(shares.collect())
 }
 
-/// Splits a text by the members' shares, on borders of characters. What is left over after the
-/// last part is the tail, which is not empty.
+/// Splits a text by the members' shares, at character boundaries. The rest after the last segment is
+/// the tail, which is not empty.
 pub fn split(text: &[u8], shares: &[Share]) -> Vec<Range<usize>> {
-    let end = border(text, text.len().saturating_sub(TAIL_BYTES));
+    let end = char_boundary(text, text.len().saturating_sub(TAIL_BYTES));
     let sum: u128 = shares.iter().map(|share| u128::from(share.tokens)).sum();
-    let mut parts = Vec::with_capacity(shares.len());
+    let mut segments = Vec::with_capacity(shares.len());
     let mut start = 0;
     let mut tokens = 0;
     for share in shares {
         tokens += u128::from(share.tokens);
         let until = (end as u128 * tokens / sum.max(1)) as usize;
-        let until = border(text, until);
-        parts.push(start..until);
+        let until = char_boundary(text, until);
+        segments.push(start..until);
         start = until;
     }
-    parts
+    segments
 }
 
-/// The last border of characters up to `at`.
-fn border(text: &[u8], at: usize) -> usize {
+/// The last character boundary at or before `at`.
+fn char_boundary(text: &[u8], at: usize) -> usize {
     let mut at = at.min(text.len());
     while at > 0 && text.get(at).is_some_and(|byte| byte & 0xc0 == 0x80) {
         at -= 1;
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -1,4 +1,4 @@
-//! What the router places, and where it placed it.
+//! A request for the router to place, and the placement that it gets.
 
 use std::time::Duration;
 
@@ -9,10 +9,9 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// A request that wants a place on a backend server.
+/// A request to be placed on a backend server.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id.
     pub request: id::Request,
     /// Name of the workspace.
     pub workspace: String,
@@ -20,15 +19,15 @@
     pub service: String,
     /// Name of the model. `None` for plain services.
     pub model: Option<String>,
-    /// Of workspace, model and body.
+    /// Hash of workspace, model and body.
     pub fingerprint: id::Fingerprint,
     /// Length of the body in bytes.
     pub body_len: u64,
     /// Most tokens to generate.
     pub max_tokens: u32,
-    /// When the final answer is due.
+    /// When the final response is due.
     pub deadline: Duration,
-    /// Hashes of the prompt's whole blocks, in order; see docs/ENGINE.md.
+    /// Hashes of the prompt's complete blocks, in order; see docs/ENGINE.md.
     pub blocks: Vec<u64>,
     /// Whether an earlier attempt was made; the retry budget must allow it.
     pub retry: bool,
@@ -36,10 +35,10 @@
     pub avoid: Vec<String>,
 }
 
-/// A place for a job.
+/// Where a job is to run, or the members of its gang.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Where.
+    /// The backend server.
     pub target: request::Target,
     /// Estimated length of the prompt in tokens.
     pub prompt_tokens: u64,
@@ -47,18 +46,18 @@
     pub class: run::Class,
     /// Priority for the engine.
     pub priority: u8,
-    /// The members, if no engine can hold the prompt alone.
+    /// The gang, if no engine can hold the prompt alone.
     pub gang: Option<gang::plan::Plan>,
 }
 
-/// What became of the attempt that a place was given for.
+/// What happened to the attempt of a placed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feedback {
-    /// The sidecar refused it; this is the exact load there.
+    /// The sidecar refused it; the load is exact.
     Refused(outcome::Cause, member::Load),
-    /// Its first token or byte came.
+    /// Its first token or byte arrived.
     FirstOutput,
-    /// The sidecar says that it failed.
+    /// The sidecar reported that it failed.
     Failed(outcome::Cause),
     /// Contact to the sidecar was lost.
     Lost,
--- a/src/entry/request.rs
+++ b/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way over its attempts: retries, at most once, and the whole answer.
+//! One request and its attempts: retries, at-most-once execution, and a complete response.
 //!
 //! A pure state machine. Its driver feeds events, carries out the actions in order, and calls
 //! `step` with [`Event::Tick`] when [`Request::wake`] has come.
@@ -18,24 +18,24 @@
 
 pub use decide::Request;
 
-/// What a request is, for its decisions.
+/// The properties of a request that decide how it is handled.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// Its id.
     pub request: id::Request,
     /// Name of the workspace.
     pub workspace: String,
-    /// Of workspace, model and body.
+    /// Hash of workspace, model and body.
     pub fingerprint: id::Fingerprint,
-    /// Whether it is a call of a plain service, whose answer has a head and cannot go on elsewhere.
+    /// Whether it calls a plain service. Its response has a head, and another attempt cannot
+    /// continue it.
     pub plain: bool,
-    /// Bytes of its body, which an offer brings to the sidecar before it is answered.
+    /// Bytes of its body. An offer sends the body to the sidecar before the sidecar replies.
     pub body_len: u64,
-    /// Whether a second run does no harm.
+    /// Whether it may run more than once.
     pub repeatable: bool,
     /// The caller's idempotency key.
     pub key: Option<String>,
-    /// When it must have its final answer.
+    /// When its final response is due.
     pub deadline: Duration,
     /// How long the idempotency key is remembered.
     pub claim_ttl: Duration,
@@ -48,87 +48,87 @@
     pub server: String,
     /// Link address of its sidecar.
     pub link: std::net::SocketAddr,
-    /// Life of the sidecar that is meant.
+    /// Incarnation of the sidecar that the choice was made for.
     pub sidecar: id::Incarnation,
 }
 
-/// What happened.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// Control's verdict on the claim.
+    /// Control decided on the claim of the idempotency key.
     ClaimResult(agree::Verdict),
-    /// The router chose.
+    /// The router chose a backend server.
     Chosen(Target),
-    /// The router found no place.
+    /// The router rejected the request.
     Unplaced(outcome::Failure),
-    /// A reply came, on whatever stream.
+    /// A reply arrived, on any stream.
     Reply(run::Reply),
-    /// The stream of this attempt failed or ended. Nothing more comes on it.
+    /// The stream of this attempt failed or ended; no further reply arrives on it.
     Lost(id::Attempt),
-    /// The caller went away.
+    /// The caller closed its connection.
     Disconnected,
-    /// This entry ends before the answer.
+    /// This entry shuts down before the response is complete.
     ShuttingDown,
 }
 
-/// What to do.
+/// Output of the state machine, for its driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Put the claim to control; its verdict comes back as an event.
+    /// Claim the idempotency key at control; [`Event::ClaimResult`] follows.
     Claim,
     /// Record the outcome at control.
     Settle(outcome::Ran),
-    /// Ask the router for a place; servers in `avoid` only if there is no other.
+    /// Ask the router for a backend server.
     Choose {
         /// Whether this is a retry, which the retry budget must allow.
         retry: bool,
-        /// Backend servers tried before.
+        /// Backend servers tried before, to use only if there is no other.
         avoid: Vec<String>,
     },
-    /// Open a stream to the target and offer. `start`: start as soon as it is reserved.
+    /// Open a stream to the target and offer the attempt.
     Offer {
-        /// Where.
+        /// Backend server to offer it to.
         target: Target,
-        /// As what.
+        /// Id of the attempt.
         attempt: id::Attempt,
-        /// Folded start.
+        /// Whether the sidecar starts it as soon as it is reserved, without a separate `Start`.
         start: bool,
-        /// Texts of tokens that the caller has.
+        /// Texts of the tokens that the caller has already received.
         delivered: Vec<String>,
     },
     /// Send `Start`.
     Start(id::Attempt),
     /// Send `Cancel`, on the stream if it is open, else on a new one to the target.
     Cancel(Target, id::Attempt),
-    /// Open a new stream to the target and query.
+    /// Open a new stream to the target and query the attempt.
     Query {
-        /// Where.
+        /// Backend server that has the attempt.
         target: Target,
-        /// What.
+        /// Id of the attempt.
         attempt: id::Attempt,
         /// First token or byte wanted.
         offset: u64,
     },
-    /// Pass on status and headers.
+    /// Send the status and headers to the caller.
     Head {
         /// HTTP status.
         status: u16,
-        /// Headers.
+        /// HTTP headers, as name and value.
         headers: Vec<(String, String)>,
     },
-    /// Pass on tokens.
+    /// Send tokens to the caller.
     Tokens(Vec<String>),
-    /// Pass on bytes.
+    /// Send bytes to the caller.
     Bytes(Bytes),
-    /// The answer is whole. The last action.
+    /// The response is complete. No action follows.
     Done {
-        /// Why it ended.
+        /// Why generation ended.
         end: run::End,
-        /// What it cost.
+        /// Tokens used.
         usage: run::Usage,
     },
-    /// The final word. The last action.
+    /// The request failed. No action follows.
     Fail(outcome::Failure),
 }
--- a/src/entry/request/decide.rs
+++ b/src/entry/request/decide.rs
@@ -1,4 +1,4 @@
-//! The decisions of a request on its way.
+//! The state machine of a request.
 
 use std::time::Duration;
 
@@ -19,49 +19,48 @@
 /// Most attempts of one request, whatever the retry budget allows.
 pub const MAX_ATTEMPTS: u32 = 16;
 
-/// Backend servers that may die under one request before it is refused as quarantined.
-pub const MAX_DEATHS: u32 = 2;
+/// Backend servers lost while running one request after which it is quarantined.
+pub const MAX_SERVER_LOSSES: u32 = 2;
 
-/// When to come back, where nobody says better.
-pub const RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Retry-after of failures that bring none of their own.
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// When to come back for a request that crashed backend servers.
-pub const QUARANTINE_RETRY: Duration = Duration::from_millis(60_000);
+/// Retry-after of a request that crashed backend servers.
+pub const QUARANTINE_RETRY_AFTER: Duration = Duration::from_millis(60_000);
 
-/// Where a request is.
 #[derive(Clone, Debug)]
 enum Phase {
-    /// Waits for control's verdict on its claim.
+    /// Waits for control's decision on its claim.
     Claiming,
-    /// Waits for the router.
+    /// Waits for the router to choose a backend server.
     Choosing,
     /// An attempt is in progress.
-    Trying(attempt::Attempt),
-    /// It has its final answer.
+    Attempting(attempt::Attempt),
+    /// The caller has the complete response or a failure.
     Over,
 }
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Clone, Debug)]
 pub struct Request {
     profile: Profile,
     phase: Phase,
-    /// Attempts so far. Invariant: a number is offered once.
+    /// Attempts so far. Invariant: each attempt number is offered only once.
     attempts: u32,
     /// Backend servers tried, each once.
     tried: Vec<String>,
-    /// Backend servers that died under it, or one again.
-    deaths: u32,
+    /// How often a backend server was lost while running it.
+    server_losses: u32,
     answer: answer::Answer,
-    /// Whether an attempt that was given up may have run. Invariant: once set on a request that
-    /// is not repeatable, no other attempt follows.
-    doubtful: bool,
-    /// Whether control may hold a claim for it.
+    /// Whether an abandoned attempt may have run. Invariant: once set on a request that is not
+    /// repeatable, no other attempt follows.
+    may_have_run: bool,
+    /// Whether control may hold a claim for it that is to be settled.
     claimed: bool,
 }
 
 impl Request {
-    /// A request and its first actions.
+    /// Starts a request; returns its first actions too.
     pub fn new(now: Duration, profile: Profile) -> (Self, Vec<Action>) {
         let claimed = !profile.repeatable && profile.key.is_some();
         let mut request = Self {
@@ -69,9 +68,9 @@
             phase: Phase::Choosing,
             attempts: 0,
             tried: Vec::new(),
-            deaths: 0,
+            server_losses: 0,
             answer: answer::Answer::default(),
-            doubtful: false,
+            may_have_run: false,
             claimed,
         };
         let mut out = Vec::new();
@@ -87,7 +86,7 @@
         (request, out)
     }
 
-    /// Takes an event.
+    /// Handles an event. Returns the actions to carry out, in order.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         if matches!(self.phase, Phase::Over) || self.expire(now, &mut out) {
@@ -100,9 +99,9 @@
             Event::Unplaced(failure) => self.unplaced(failure, &mut out),
             Event::Reply(reply) => self.reply(now, reply, &mut out),
             Event::Lost(id) => self.lost(now, id, &mut out),
-            Event::Disconnected => self.give_up(Cause::Cancelled, "the caller went away", &mut out),
+            Event::Disconnected => self.abort(Cause::Cancelled, "the caller went away", &mut out),
             Event::ShuttingDown => {
-                self.give_up(
+                self.abort(
                     Cause::Draining,
                     "this entry ends before the answer",
                     &mut out,
@@ -114,52 +113,52 @@
 
     /// When `Tick` is due next.
     pub fn wake(&self) -> Duration {
-        let Phase::Trying(current) = &self.phase else {
+        let Phase::Attempting(current) = &self.phase else {
             return self.profile.deadline;
         };
         let mut wake = self.profile.deadline;
-        if let Some(at) = current.ask_at() {
+        if let Some(at) = current.query_at() {
             wake = wake.min(at);
         }
-        if let Some(at) = current.stale_at()
-            && self.can_move()
+        if let Some(at) = current.unreachable_at()
+            && self.can_retry_after_run()
         {
             wake = wake.min(at);
         }
         wake
     }
 
-    /// Whether it has its final answer.
+    /// Whether the caller has the complete response or a failure.
     pub fn is_over(&self) -> bool {
         matches!(self.phase, Phase::Over)
     }
 
-    /// Gives the final answer if the time limit has passed.
+    /// Fails the request if its time limit has passed.
     fn expire(&mut self, now: Duration, out: &mut Vec<Action>) -> bool {
         if now < self.profile.deadline {
             return false;
         }
-        self.give_up(Cause::Deadline, "the time limit has passed", out);
+        self.abort(Cause::Deadline, "the time limit has passed", out);
         true
     }
 
     fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let can_move = self.can_move();
-        let Phase::Trying(current) = &mut self.phase else {
+        let can_retry_after_run = self.can_retry_after_run();
+        let Phase::Attempting(current) = &mut self.phase else {
             return;
         };
         if current.step == Step::Offered && current.is_due(now) {
-            // Without a start it cannot run, so another attempt is safe.
+            // An attempt that was not started cannot run, so another is safe.
             out.push(Action::Cancel(current.target.clone(), current.id));
-            return self.elsewhere(out);
+            return self.retry(out);
         }
-        if current.is_stale(now) && can_move {
+        if current.is_unreachable(now) && can_retry_after_run {
             out.push(Action::Cancel(current.target.clone(), current.id));
-            self.doubtful = true;
-            return self.elsewhere(out);
+            self.may_have_run = true;
+            return self.retry(out);
         }
         if current.is_due(now) {
-            current.asked(now);
+            current.on_query(now);
             out.push(Action::Query {
                 target: current.target.clone(),
                 attempt: current.id,
@@ -175,9 +174,9 @@
         match verdict {
             agree::Verdict::Claimed => self.choose(false, out),
             agree::Verdict::Held { ended, .. } => {
-                // The claim is another's: nothing to settle.
+                // Another request holds the claim, so there is nothing to settle.
                 self.claimed = false;
-                self.fail(held(ended), out);
+                self.fail(claim_held(ended), out);
             }
             agree::Verdict::Mismatch => {
                 self.claimed = false;
@@ -191,7 +190,7 @@
             _ => {
                 let failure = outcome::Failure::not_run(
                     Cause::NoQuorum,
-                    Some(millis(RETRY_AFTER)),
+                    Some(millis(DEFAULT_RETRY_AFTER)),
                     "the claim of the idempotency key could not be agreed on",
                 );
                 self.fail(failure, out);
@@ -219,21 +218,21 @@
             delivered: self.answer.tokens().to_vec(),
         });
         let body_len = self.profile.body_len;
-        self.phase = Phase::Trying(attempt::Attempt::new(now, target, id, start, body_len));
+        self.phase = Phase::Attempting(attempt::Attempt::new(now, target, id, start, body_len));
     }
 
     fn unplaced(&mut self, mut failure: outcome::Failure, out: &mut Vec<Action>) {
         if !matches!(self.phase, Phase::Choosing) {
             return;
         }
-        if self.doubtful {
+        if self.may_have_run {
             failure.ran = Ran::MayHaveRun;
         }
         self.fail(failure, out);
     }
 
     fn lost(&mut self, now: Duration, id: id::Attempt, out: &mut Vec<Action>) {
-        let Phase::Trying(current) = &mut self.phase else {
+        let Phase::Attempting(current) = &mut self.phase else {
             return;
         };
         if current.id != id {
@@ -241,13 +240,13 @@
         }
         if current.step == Step::Offered {
             out.push(Action::Cancel(current.target.clone(), id));
-            return self.elsewhere(out);
+            return self.retry(out);
         }
-        current.lose(now);
+        current.on_stream_lost(now);
     }
 
     fn reply(&mut self, now: Duration, reply: run::Reply, out: &mut Vec<Action>) {
-        let Phase::Trying(current) = &mut self.phase else {
+        let Phase::Attempting(current) = &mut self.phase else {
             return;
         };
         if current.id != reply.attempt() {
@@ -263,13 +262,13 @@
             run::Reply::Refused { failure, .. } => self.refused(failure, out),
             run::Reply::Started(_) => {
                 current.step = Step::Started;
-                current.heard(now);
+                current.on_reply(now);
             }
             run::Reply::Head {
                 status, headers, ..
             } => {
                 current.step = Step::Started;
-                current.heard(now);
+                current.on_reply(now);
                 out.extend(self.answer.head(status, headers));
             }
             run::Reply::Chunk {
@@ -279,19 +278,19 @@
                 ..
             } => {
                 current.step = Step::Started;
-                let place = if self.profile.plain {
-                    self.answer.place_bytes(offset, bytes)
+                let position = if self.profile.plain {
+                    self.answer.add_bytes(offset, bytes)
                 } else {
-                    self.answer.place_tokens(offset, tokens)
+                    self.answer.add_tokens(offset, tokens)
                 };
-                match place {
-                    answer::Place::Next(action) => {
-                        current.heard(now);
+                match position {
+                    answer::Position::Next(action) => {
+                        current.on_reply(now);
                         out.push(action);
                     }
-                    answer::Place::Known => current.heard(now),
-                    answer::Place::Gap => {
-                        current.miss(now);
+                    answer::Position::Duplicate => current.on_reply(now),
+                    answer::Position::Gap => {
+                        current.on_gap(now);
                         self.tick(now, out);
                     }
                 }
@@ -300,18 +299,18 @@
                 length, end, usage, ..
             } => self.done(now, length, end, usage, out),
             run::Reply::Failed { failure, .. } => {
-                self.deaths += u32::from(failure.cause == Cause::ServerLost);
+                self.server_losses += u32::from(failure.cause == Cause::ServerLost);
                 self.failed(failure, out);
             }
-            // Of a segment, which is no attempt of this machine.
+            // Belongs to a gang's segment; requests offer none.
             run::Reply::Held { .. } => {}
             run::Reply::Unknown(_) => {
-                // The sidecar restarted, which says nothing of the backend server.
+                // The sidecar restarted. The backend server may still run the attempt.
                 let failure = outcome::Failure::may_have_run(
                     Cause::ServerLost,
                     "the sidecar restarted and does not know the attempt",
                 );
-                self.stopped(failure, out);
+                self.interrupted(failure, out);
             }
         }
     }
@@ -324,14 +323,14 @@
         usage: run::Usage,
         out: &mut Vec<Action>,
     ) {
-        let Phase::Trying(current) = &mut self.phase else {
+        let Phase::Attempting(current) = &mut self.phase else {
             return;
         };
         let missing =
             length > self.answer.length() || (self.profile.plain && !self.answer.has_head());
         if missing {
             current.step = Step::Started;
-            current.miss(now);
+            current.on_gap(now);
             return self.tick(now, out);
         }
         if length < self.answer.length() {
@@ -348,11 +347,11 @@
         self.phase = Phase::Over;
     }
 
-    /// The attempt was not run and never will be.
+    /// The attempt did not run and never will.
     fn refused(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
         if is_final(failure.cause) || self.attempts >= MAX_ATTEMPTS {
             let failure = outcome::Failure {
-                ran: if self.doubtful {
+                ran: if self.may_have_run {
                     Ran::MayHaveRun
                 } else {
                     Ran::NotRun
@@ -361,36 +360,36 @@
             };
             return self.fail(failure, out);
         }
-        self.elsewhere(out);
+        self.retry(out);
     }
 
     fn failed(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
         if failure.ran == Ran::NotRun {
             return self.refused(failure, out);
         }
-        self.stopped(failure, out);
+        self.interrupted(failure, out);
     }
 
-    /// The attempt ended without a whole answer, and ran or may have run.
-    fn stopped(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
-        if !self.can_move() || is_final(failure.cause) {
+    /// The attempt ended without a complete response, and ran or may have run.
+    fn interrupted(&mut self, failure: outcome::Failure, out: &mut Vec<Action>) {
+        if !self.can_retry_after_run() || is_final(failure.cause) {
             return self.fail(failure, out);
         }
-        self.doubtful = true;
-        if self.deaths >= MAX_DEATHS {
+        self.may_have_run = true;
+        if self.server_losses >= MAX_SERVER_LOSSES {
             let failure = outcome::Failure {
                 cause: Cause::Quarantined,
                 ran: Ran::MayHaveRun,
-                retry_after_ms: Some(millis(QUARANTINE_RETRY)),
+                retry_after_ms: Some(millis(QUARANTINE_RETRY_AFTER)),
                 message: "backend servers were lost under this request".to_owned(),
             };
             return self.fail(failure, out);
         }
-        self.elsewhere(out);
+        self.retry(out);
     }
 
     /// Whether another attempt may follow one that may have run.
-    fn can_move(&self) -> bool {
+    fn can_retry_after_run(&self) -> bool {
         self.profile.repeatable
             && self.attempts < MAX_ATTEMPTS
             && !(self.profile.plain && self.answer.begun())
@@ -404,18 +403,19 @@
         });
     }
 
-    fn elsewhere(&mut self, out: &mut Vec<Action>) {
+    fn retry(&mut self, out: &mut Vec<Action>) {
         self.choose(true, out);
     }
 
-    /// Stops whatever is in progress and gives the final answer, with the truth of what is known.
-    fn give_up(&mut self, cause: Cause, message: &str, out: &mut Vec<Action>) {
-        let mut ran = if self.doubtful {
+    /// Cancels the attempt in progress and fails the request. The failure says whether it may have
+    /// run.
+    fn abort(&mut self, cause: Cause, message: &str, out: &mut Vec<Action>) {
+        let mut ran = if self.may_have_run {
             Ran::MayHaveRun
         } else {
             Ran::NotRun
         };
-        if let Phase::Trying(current) = &self.phase {
+        if let Phase::Attempting(current) = &self.phase {
             out.push(Action::Cancel(current.target.clone(), current.id));
             if current.step > Step::Offered {
                 ran = Ran::MayHaveRun;
@@ -424,15 +424,17 @@
         let failure = outcome::Failure {
             cause,
             ran,
-            retry_after_ms: (ran == Ran::NotRun).then_some(millis(RETRY_AFTER)),
+            retry_after_ms: (ran == Ran::NotRun).then_some(millis(DEFAULT_RETRY_AFTER)),
             message: message.to_owned(),
         };
         self.fail(failure, out);
     }
 
     fn fail(&mut self, mut failure: outcome::Failure, out: &mut Vec<Action>) {
-        if failure.ran == Ran::NotRun && is_passing(failure.cause) {
-            failure.retry_after_ms.get_or_insert(millis(RETRY_AFTER));
+        if failure.ran == Ran::NotRun && is_transient(failure.cause) {
+            failure
+                .retry_after_ms
+                .get_or_insert(millis(DEFAULT_RETRY_AFTER));
         }
         self.settle(failure.ran, out);
         out.push(Action::Fail(failure));
@@ -447,13 +449,13 @@
     }
 }
 
-/// What the holder of a claim means for another request with the same key.
-fn held(ended: Option<(Ran, u16)>) -> outcome::Failure {
+/// The failure of a request whose idempotency key another request holds.
+fn claim_held(ended: Option<(Ran, u16)>) -> outcome::Failure {
     match ended {
         None => outcome::Failure {
             cause: Cause::KeyRunning,
             ran: Ran::MayHaveRun,
-            retry_after_ms: Some(millis(RETRY_AFTER)),
+            retry_after_ms: Some(millis(DEFAULT_RETRY_AFTER)),
             message: "a request with this idempotency key is running".to_owned(),
         },
         Some((ran, status)) => outcome::Failure {
@@ -465,7 +467,7 @@
     }
 }
 
-/// Whether no other backend server would answer otherwise.
+/// Whether every other backend server would fail with the same cause.
 fn is_final(cause: Cause) -> bool {
     matches!(
         cause,
@@ -473,8 +475,8 @@
     )
 }
 
-/// Whether the same request may succeed later.
-fn is_passing(cause: Cause) -> bool {
+/// Whether the same request may succeed if retried later.
+fn is_transient(cause: Cause) -> bool {
     !matches!(
         cause,
         Cause::BadRequest
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! Chooses a backend server for each request, or has it wait. A pure state machine.
+//! Chooses a backend server for each request, or queues it. A pure state machine.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,69 +26,69 @@
 mod dispatch;
 mod gang;
 
-/// Time between two looks at what has aged: leases, waiting requests, slow prefills.
-pub const PERIOD: Duration = Duration::from_millis(250);
+/// Time between checks of leases, waiting requests and slow prefills.
+pub const TICK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Retries in percent of a service that the configuration does not name.
+/// Retry budget, in percent of its requests, of a service that the configuration does not name.
 const RETRY_PERCENT: u32 = 10;
 
-/// What happened.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A backend server announced itself.
     Announce(Box<member::Announce>),
-    /// A request wants a place.
+    /// A request is to be placed.
     Place(Box<job::Job>),
-    /// What became of the attempt of a request.
+    /// The progress or failure of a request's attempt.
     Feedback(id::Request, job::Feedback),
-    /// The request has its final answer, and what it cost, if it ran to its end.
+    /// The request has ended; with the tokens used, if it ran to completion.
     Close(id::Request, Option<run::Usage>),
-    /// A part of a model's prompt, in bytes and in tokens.
+    /// Length of a segment of a prompt for this model, in bytes and in tokens.
     Learned(String, u64, u64),
     /// Time passed.
     Tick,
 }
 
-/// What to do.
+/// Output of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The request has a place.
+    /// The request was placed.
     Placed(id::Request, job::Placement),
-    /// The request gets no place.
+    /// The request was rejected.
     Unplaced(id::Request, outcome::Failure),
 }
 
-/// A request that the router knows, from its first wish for a place to its end.
+/// A request that the router tracks, from its first [`Event::Place`] to its [`Event::Close`].
 #[derive(Clone, Debug)]
-struct Open {
+struct Request {
     workspace: String,
     model: Option<String>,
     body_len: u64,
     max_tokens: u32,
-    /// Since when it wants its first place.
+    /// When it arrived.
     since: Duration,
-    /// Fair-share tag; kept over retries, so that they are not paid for twice.
+    /// Fair-share tag; kept over retries, so that the workspace is charged once.
     tag: u64,
-    /// Whether its last attempt was refused: the next costs no retry.
+    /// Whether its last attempt was refused. The next one then takes nothing from the retry budget.
     refused: bool,
 }
 
 /// Counts for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Places given.
+    /// Placements.
     pub placed: u64,
-    /// Of these, after an attempt that was lost or failed.
+    /// Placements after an attempt that was lost or failed.
     pub retries: u64,
-    /// Of these, after an attempt that was refused.
+    /// Placements after an attempt that was refused.
     pub refusals: u64,
-    /// Requests that had to wait for a place.
+    /// Requests that were queued.
     pub waited: u64,
     /// Requests shed from the full queue.
     pub shed: u64,
-    /// Prompt tokens placed, and of these those expected in a prefix cache.
+    /// Prompt tokens placed.
     pub prompt_tokens: u64,
-    /// Prompt tokens expected in a prefix cache.
+    /// Of these, tokens expected in a prefix cache.
     pub cached_tokens: u64,
 }
 
@@ -104,24 +104,24 @@
     shares: share::Shares,
     suspects: suspect::Suspects,
     budgets: HashMap<String, budget::Budget>,
-    open: HashMap<id::Request, Open>,
+    requests: HashMap<id::Request, Request>,
     queue: queue::Queue,
-    /// Servers held for a request that waits.
+    /// Servers held for waiting requests.
     holds: HashMap<id::Request, fleet::Index>,
     /// Requests that no engine can hold alone.
     gangs: HashMap<id::Request, gang::Gang>,
-    /// When a long request came last, here or by a server's report.
-    long: Option<Duration>,
-    /// When a request last had to wait: shares count while there is contention.
-    contended: Option<Duration>,
-    /// Turn of the round-robin baseline.
+    /// When a long request last arrived here or was reported by a server.
+    last_long: Option<Duration>,
+    /// When a request was last queued. Shares are enforced only under contention.
+    last_contention: Option<Duration>,
+    /// Position of the next server under round-robin routing.
     turn: usize,
-    due: Duration,
+    tick_at: Duration,
     counts: Counts,
 }
 
 impl Router {
-    /// A router of an entry in `zone` that knows of no server yet.
+    /// A router for an entry in availability zone `zone`, without servers.
     pub fn new(seed: u64, zone: &str, conf: Arc<config::Set>) -> Self {
         Self {
             conf,
@@ -134,19 +134,19 @@
             shares: share::Shares::default(),
             suspects: suspect::Suspects::default(),
             budgets: HashMap::new(),
-            open: HashMap::new(),
+            requests: HashMap::new(),
             queue: queue::Queue::default(),
             holds: HashMap::new(),
             gangs: HashMap::new(),
-            long: None,
-            contended: None,
+            last_long: None,
+            last_contention: None,
             turn: 0,
-            due: Duration::ZERO,
+            tick_at: Duration::ZERO,
             counts: Counts::default(),
         }
     }
 
-    /// Takes a configuration.
+    /// Applies a configuration.
     pub fn configure(&mut self, conf: Arc<config::Set>) {
         self.shares.configure(&conf);
         self.budgets
@@ -154,12 +154,12 @@
         self.conf = conf;
     }
 
-    /// Takes the suspects in force.
+    /// Replaces the list of suspects.
     pub fn set_suspects(&mut self, list: &[agree::Suspect]) {
         self.suspects.set(list);
     }
 
-    /// The backend servers known.
+    /// The backend servers.
     pub fn fleet(&self) -> &fleet::Fleet {
         &self.fleet
     }
@@ -169,22 +169,22 @@
         self.counts
     }
 
-    /// Requests that wait for a place.
+    /// Requests in the queue.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests known: waiting or placed, and not closed.
+    /// Requests waiting or placed, and not closed.
     pub fn in_progress(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
     /// When `Tick` is due next.
     pub fn wake(&self) -> Duration {
-        self.due
+        self.tick_at
     }
 
-    /// Takes an event; what to do is put at the end of `actions`.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.started.get_or_insert(now);
         match event {
@@ -204,8 +204,8 @@
             Event::Learned(model, bytes, tokens) => self.estimate.learn(&model, bytes, tokens),
             Event::Tick => {}
         }
-        if now >= self.due {
-            self.due = now + PERIOD;
+        if now >= self.tick_at {
+            self.tick_at = now + TICK_PERIOD;
             self.age(now, actions);
             self.dispatch(now, actions);
         }
@@ -214,7 +214,7 @@
     fn announce(&mut self, now: Duration, announce: member::Announce) {
         let cache = announce.cache.clone();
         if announce.load.long > 0 {
-            self.long = Some(now);
+            self.last_long = Some(now);
         }
         match self.fleet.announce(now, announce) {
             fleet::Change::Ignored => {}
@@ -234,14 +234,14 @@
             job::Feedback::Refused(_, load) => {
                 self.fleet.remove_attempt(request);
                 self.fleet.set_load(now, server, load);
-                if let Some(open) = self.open.get_mut(&request) {
-                    open.refused = true;
+                if let Some(known) = self.requests.get_mut(&request) {
+                    known.refused = true;
                 }
             }
             job::Feedback::FirstOutput => {
                 self.fleet.first_output(now, request);
             }
-            // The attempt counts until the request gets its next place or ends.
+            // The attempt counts as load until the request is placed again or ends.
             job::Feedback::Failed(_) | job::Feedback::Lost => {}
         }
         let Some(server) = self.fleet.server_mut(server) else {
@@ -265,13 +265,13 @@
         self.release_gang(request);
         self.gangs.remove(&request);
         self.fleet.remove_attempt(request);
-        let Some(open) = self.open.remove(&request) else {
+        let Some(known) = self.requests.remove(&request) else {
             return;
         };
-        self.shares.close(&open.workspace);
-        if let (Some(model), Some(usage)) = (&open.model, usage) {
+        self.shares.close(&known.workspace);
+        if let (Some(model), Some(usage)) = (&known.model, usage) {
             self.estimate
-                .observe(model, open.body_len, open.max_tokens, usage);
+                .observe(model, known.body_len, known.max_tokens, usage);
         }
     }
 
@@ -279,7 +279,7 @@
         self.budgets.entry(service.to_owned()).or_default()
     }
 
-    /// Lets go of the server held for a request.
+    /// Releases the server held for a request.
     fn release_hold(&mut self, request: id::Request) {
         let Some(index) = self.holds.remove(&request) else {
             return;
@@ -292,7 +292,7 @@
     }
 }
 
-/// Whether a failure speaks against the backend server.
+/// Whether the breaker counts a failure against the backend server.
 fn is_fault(cause: outcome::Cause) -> bool {
     matches!(
         cause,
--- a/src/entry/router/age.rs
+++ b/src/entry/router/age.rs
@@ -1,4 +1,5 @@
-//! What changes with time alone: leases end, waiting requests become urgent or hopeless.
+//! Periodic work: ends leases, rejects waiting requests that are too late, holds servers for old
+//! ones.
 
 use std::time::Duration;
 
@@ -11,43 +12,45 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// How long a request waits before a server is held for it.
+/// How long a medium or long request waits before a server is held for it.
 pub const HOLD_AFTER: Duration = Duration::from_millis(2_000);
 
-/// One server in so many of a service may be held at a time, and always one.
-const HELD: usize = 8;
+/// One server in this many of a service may be held at a time, and one more.
+const SERVERS_PER_HOLD: usize = 8;
 
-/// A prefill that takes this many times its own length is slow: nothing more is put before it.
-const SLOW: f64 = 4.0;
+/// A prefill is slow when it takes this many times its predicted duration. Its server gets no
+/// other work that would delay it.
+const SLOW_FACTOR: f64 = 4.0;
 
-/// Shorter than this no prefill counts as slow.
-const MIN_SLOW: Duration = Duration::from_millis(2_000);
+/// A prefill is never slow before this time.
+const MIN_SLOW_PREFILL: Duration = Duration::from_millis(2_000);
 
 impl Router {
     pub(super) fn age(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for index in self.fleet.expire(now) {
             self.prefix.forget(index);
         }
-        self.refuse_late(now, actions);
+        self.reject_late(now, actions);
         if self.conf.policy.routing == config::Routing::Predicted {
             self.hold(now);
-            self.fleet.protect(now, SLOW, MIN_SLOW);
+            self.fleet.protect(now, SLOW_FACTOR, MIN_SLOW_PREFILL);
         }
     }
 
-    /// Refuses what cannot have its answer in time any more: better now than at its limit.
-    fn refuse_late(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Rejects waiting requests that can no longer meet their deadline, so that their callers need
+    /// not wait for it.
+    fn reject_late(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let late: Vec<(id::Request, outcome::Failure)> = self
             .queue
             .iter()
-            .filter_map(|waiting| Some((waiting.job.request, self.hopeless(now, waiting)?)))
+            .filter_map(|waiting| Some((waiting.job.request, self.missed_deadline(now, waiting)?)))
             .collect();
         for (request, failure) in late {
-            self.drop_waiting(request, failure, actions);
+            self.reject_waiting(request, failure, actions);
         }
     }
 
-    fn hopeless(&self, now: Duration, waiting: &queue::Waiting) -> Option<outcome::Failure> {
+    fn missed_deadline(&self, now: Duration, waiting: &queue::Waiting) -> Option<outcome::Failure> {
         let rates = self.fleet.service(&waiting.job.service).iter();
         let fastest = rates
             .filter_map(|&index| Some(self.fleet.server(index)?.rate()))
@@ -56,14 +59,14 @@
         (now + prefill > waiting.job.deadline).then(|| {
             outcome::Failure::not_run(
                 outcome::Cause::Deadline,
-                Some(super::PERIOD.as_millis() as u64 * 4),
+                Some(super::TICK_PERIOD.as_millis() as u64 * 4),
                 "the time limit cannot be met",
             )
         })
     }
 
-    /// Holds servers for the requests that wait longest, so that those who need much memory get
-    /// it in the end.
+    /// Holds servers for the requests that have waited longest. Otherwise smaller requests could
+    /// keep taking the memory that a large one needs.
     fn hold(&mut self, now: Duration) {
         let mut aged: Vec<(Duration, id::Request)> = self
             .queue
@@ -76,14 +79,14 @@
             .collect();
         aged.sort_unstable();
         for (_, request) in aged {
-            let over = self
+            let workspace = self
                 .queue
                 .get(request)
                 .map(|waiting| waiting.job.workspace.clone());
-            if over.is_some_and(|workspace| self.shares.is_over(now, &workspace)) {
+            if workspace.is_some_and(|workspace| self.shares.is_over(now, &workspace)) {
                 continue;
             }
-            let Some(index) = self.holdable(now, request) else {
+            let Some(index) = self.choose_hold(now, request) else {
                 continue;
             };
             if let Some(server) = self.fleet.server_mut(index) {
@@ -93,8 +96,9 @@
         }
     }
 
-    /// The server that will soonest have room for a request, unless enough are held.
-    fn holdable(&self, now: Duration, request: id::Request) -> Option<fleet::Index> {
+    /// The server expected to have capacity for a request first. `None`: none suits, or too many are
+    /// held already.
+    fn choose_hold(&self, now: Duration, request: id::Request) -> Option<fleet::Index> {
         let waiting = self.queue.get(request)?;
         let list = self.fleet.service(&waiting.job.service);
         let servers = list.iter().filter_map(|&index| {
@@ -104,7 +108,7 @@
         let held = servers
             .clone()
             .filter(|(_, server)| server.held_for.is_some());
-        if held.count() > list.len() / HELD {
+        if held.count() > list.len() / SERVERS_PER_HOLD {
             return None;
         }
         servers
--- a/src/entry/router/dispatch.rs
+++ b/src/entry/router/dispatch.rs
@@ -1,11 +1,11 @@
-//! Places requests, at once or from the queue.
+//! Places requests, on arrival or from the queue.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use super::Action;
-use super::Open;
 use super::RETRY_PERCENT;
+use super::Request;
 use super::Router;
 use crate::config;
 use crate::entry::choice;
@@ -18,32 +18,33 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// Requests of a lane that are tried before the lane counts as stuck: a large one that finds no
-/// memory does not stop smaller ones until it is aged.
-const TRIED: usize = 4;
+/// Requests at the front of a lane that are tried at a time, so that a large one that finds no
+/// memory does not block smaller ones behind it.
+const MAX_TRIED: usize = 4;
 
-/// What a call of a plain service costs its workspace, in tokens.
-const PLAIN_COST: u64 = 500;
+/// Tokens that a workspace is charged for a call of a plain service.
+const PLAIN_COST_TOKENS: u64 = 500;
 
-/// How long servers are kept for long requests after the last one came.
-const LONG_LATELY: Duration = Duration::from_secs(60);
+/// How long servers are reserved for long requests after the last one arrived.
+const LONG_WINDOW: Duration = Duration::from_secs(60);
 
-/// How long shares count after a request had to wait.
-const CONTENTION: Duration = Duration::from_secs(2);
+/// How long shares are enforced after a request was queued.
+const CONTENTION_WINDOW: Duration = Duration::from_secs(2);
 
-/// Bounds of what a refused caller is told, in milliseconds.
+/// Bounds of the retry-after of rejected requests.
 const MIN_RETRY_MS: u64 = 500;
 const MAX_RETRY_MS: u64 = 30_000;
 
-/// Part of the expected answer that must fit into the time limit: the expectation is a mean.
-const OUTPUT_MARGIN: f64 = 0.5;
+/// Part of the expected generation time that must fit into the time limit. Not all of it, since the
+/// expectation is a mean.
+const OUTPUT_PART: f64 = 0.5;
 
 impl Router {
-    /// Takes a wish for a place.
+    /// Places, queues or rejects a request.
     pub(super) fn place(&mut self, now: Duration, job: job::Job, actions: &mut Vec<Action>) {
         let request = job.request;
         if self.suspects.quarantined(job.fingerprint).is_some() {
-            return self.quarantine(&job, actions);
+            return self.reject_quarantined(&job, actions);
         }
         let Some(waiting) = self.admit(now, job) else {
             let failure = outcome::Failure::not_run(
@@ -54,23 +55,23 @@
             return actions.push(Action::Unplaced(request, failure));
         };
         if waiting.class == run::Class::Long {
-            self.long = Some(now);
+            self.last_long = Some(now);
         }
-        if let Some(failure) = self.late(now, &waiting) {
+        if let Some(failure) = self.late_failure(now, &waiting) {
             return actions.push(Action::Unplaced(request, failure));
         }
         if let Some(action) = self.gang(now, &waiting) {
             return actions.push(action);
         }
         let pool = queue::Pool::of(&waiting.job);
-        let behind = !waiting.job.retry && self.queue.has(&pool, waiting.class);
-        if behind {
+        let has_lane = !waiting.job.retry && self.queue.has(&pool, waiting.class);
+        if has_lane {
             self.enqueue(now, waiting, actions);
             return self.dispatch(now, actions);
         }
         match self.choose(now, &waiting) {
-            choice::Choice::Found(index, uncached) if self.pay(now, &waiting) => {
-                self.put(now, &waiting, index, uncached, actions);
+            choice::Choice::Found(index, uncached) if self.spend_retry(now, &waiting) => {
+                self.assign(now, &waiting, index, uncached, actions);
             }
             choice::Choice::Absent if !waiting.job.retry => {
                 let failure = outcome::Failure::not_run(
@@ -94,11 +95,11 @@
         }
     }
 
-    /// Counts a request in, unless it is known. `None`: its workspace is at its limit.
+    /// Tracks a request, unless it is tracked already. `None`: its workspace is at its limit.
     fn admit(&mut self, now: Duration, job: job::Job) -> Option<queue::Waiting> {
-        let (prompt_tokens, output_tokens) = self.tokens(&job);
+        let (prompt_tokens, output_tokens) = self.estimate_tokens(&job);
         let request = job.request;
-        if !self.open.contains_key(&request) {
+        if !self.requests.contains_key(&request) {
             if !self.shares.open(&self.conf, &job.workspace) {
                 return None;
             }
@@ -113,7 +114,7 @@
             let percent = self.conf.service.get(&job.service);
             let percent = percent.map_or(RETRY_PERCENT, |service| service.retry_percent);
             self.budget(&job.service).earn(percent);
-            let open = Open {
+            let known = Request {
                 workspace: job.workspace.clone(),
                 model: job.model.clone(),
                 body_len: job.body_len,
@@ -122,51 +123,51 @@
                 tag,
                 refused: false,
             };
-            self.open.insert(request, open);
+            self.requests.insert(request, known);
         }
         self.fleet.remove_attempt(request);
-        let open = self.open.get_mut(&request)?;
-        let unpaid = job.retry && !open.refused;
+        let known = self.requests.get_mut(&request)?;
+        let needs_retry_budget = job.retry && !known.refused;
         Some(queue::Waiting {
-            since: if job.retry { now } else { open.since },
+            since: if job.retry { now } else { known.since },
             class: match job.model {
                 Some(_) => estimate::class(&self.conf.policy, prompt_tokens),
                 None => run::Class::Short,
             },
-            tag: open.tag,
-            unpaid,
+            tag: known.tag,
+            needs_retry_budget,
             job,
             prompt_tokens,
             output_tokens,
         })
     }
 
-    /// Estimated tokens of prompt and answer.
-    fn tokens(&self, job: &job::Job) -> (u64, u64) {
+    /// Estimated tokens of prompt and response.
+    fn estimate_tokens(&self, job: &job::Job) -> (u64, u64) {
         let Some(model) = &job.model else {
-            return (0, PLAIN_COST);
+            return (0, PLAIN_COST_TOKENS);
         };
         let mut prompt = self.estimate.prompt(model, job.body_len);
         if !self.estimate.knows(model) {
-            // A guess is no reason to call a prompt too long.
+            // A default ratio is too uncertain to reject a prompt as too long.
             let list = self.fleet.service(&job.service).iter();
             let servers = list.filter_map(|&index| self.fleet.server(index));
-            let most = servers
+            let largest = servers
                 .map(|server| server.announced.load.memory_tokens)
                 .max();
-            let most = most.unwrap_or(u64::MAX);
-            prompt = prompt.min(most.saturating_sub(u64::from(job.max_tokens)).max(1));
+            let largest = largest.unwrap_or(u64::MAX);
+            prompt = prompt.min(largest.saturating_sub(u64::from(job.max_tokens)).max(1));
         }
         (prompt, self.estimate.output(model, job.max_tokens))
     }
 
-    /// Whether the retry budget allows the request.
-    pub(super) fn pay(&mut self, now: Duration, waiting: &queue::Waiting) -> bool {
-        !waiting.unpaid || self.budget(&waiting.job.service).take(now)
+    /// Takes a retry from the budget if the request needs one. `false`: none is left.
+    pub(super) fn spend_retry(&mut self, now: Duration, waiting: &queue::Waiting) -> bool {
+        !waiting.needs_retry_budget || self.budget(&waiting.job.service).take(now)
     }
 
-    /// Why a request cannot have its answer in time, if so.
-    fn late(&self, now: Duration, waiting: &queue::Waiting) -> Option<outcome::Failure> {
+    /// The failure of a request that cannot meet its deadline.
+    fn late_failure(&self, now: Duration, waiting: &queue::Waiting) -> Option<outcome::Failure> {
         let left = waiting.job.deadline.saturating_sub(now);
         let mut rate = 0;
         let mut fastest = 0;
@@ -188,7 +189,7 @@
         let wait = ahead as f64 / rate as f64;
         let prefill = waiting.prompt_tokens as f64 / fastest as f64;
         let answer = waiting.output_tokens as f64 * token_micros as f64 / 1e6;
-        let need = wait + prefill + OUTPUT_MARGIN * answer;
+        let need = wait + prefill + OUTPUT_PART * answer;
         if need <= left.as_secs_f64() {
             return None;
         }
@@ -201,31 +202,33 @@
         ))
     }
 
-    /// Has a request wait. Of too many, those go first whose workspace is furthest over its
-    /// share.
+    /// Queues a request. If the queue is full, sheds one of the workspace furthest over its share.
     fn enqueue(&mut self, now: Duration, waiting: queue::Waiting, actions: &mut Vec<Action>) {
         self.counts.waited += 1;
-        self.contended = Some(now);
+        self.last_contention = Some(now);
         let request = waiting.job.request;
         self.queue.push(waiting);
         if self.queue.len() <= queue::MAX_WAITING {
             return;
         }
-        let shed = self.queue.last().unwrap_or(request);
+        let shed = self.queue.shed_candidate().unwrap_or(request);
         self.counts.shed += 1;
-        let over = self.open.get(&shed).map(|open| open.workspace.clone());
-        let over = over.is_some_and(|workspace| self.shares.is_over(now, &workspace));
+        let workspace = self
+            .requests
+            .get(&shed)
+            .map(|known| known.workspace.clone());
+        let over = workspace.is_some_and(|workspace| self.shares.is_over(now, &workspace));
         let cause = if over {
             outcome::Cause::OverShare
         } else {
             outcome::Cause::Busy
         };
         let failure = outcome::Failure::not_run(cause, Some(MIN_RETRY_MS), "the queue is full");
-        self.drop_waiting(shed, failure, actions);
+        self.reject_waiting(shed, failure, actions);
     }
 
-    /// Takes a request out of the queue and refuses it.
-    pub(super) fn drop_waiting(
+    /// Removes a request from the queue and rejects it.
+    pub(super) fn reject_waiting(
         &mut self,
         request: id::Request,
         failure: outcome::Failure,
@@ -236,7 +239,7 @@
         actions.push(Action::Unplaced(request, failure));
     }
 
-    /// Places what waits and now finds room.
+    /// Places the waiting requests for which there is capacity now.
     pub(super) fn dispatch(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -246,8 +249,8 @@
         }
     }
 
-    /// Refuses a request that crashed backend servers.
-    fn quarantine(&self, job: &job::Job, actions: &mut Vec<Action>) {
+    /// Rejects a request that crashed backend servers.
+    fn reject_quarantined(&self, job: &job::Job, actions: &mut Vec<Action>) {
         let failure = outcome::Failure::not_run(
             outcome::Cause::Quarantined,
             self.suspects.quarantined(job.fingerprint),
@@ -256,28 +259,28 @@
         actions.push(Action::Unplaced(job.request, failure));
     }
 
-    /// Places one request of a lane. `false`: none found room.
+    /// Places or rejects one request of a lane. `false`: there was capacity for none.
     fn dispatch_lane(
         &mut self,
         now: Duration,
         lane: &(queue::Pool, run::Class),
         actions: &mut Vec<Action>,
     ) -> bool {
-        for request in self.queue.head(lane, TRIED) {
+        for request in self.queue.first(lane, MAX_TRIED) {
             let Some(waiting) = self.queue.get(request).cloned() else {
                 continue;
             };
             if self.suspects.quarantined(waiting.job.fingerprint).is_some() {
                 self.queue.remove(request);
-                self.quarantine(&waiting.job, actions);
+                self.reject_quarantined(&waiting.job, actions);
                 return true;
             }
             let choice::Choice::Found(index, uncached) = self.choose(now, &waiting) else {
                 continue;
             };
-            if self.pay(now, &waiting) {
+            if self.spend_retry(now, &waiting) {
                 self.queue.remove(request);
-                self.put(now, &waiting, index, uncached, actions);
+                self.assign(now, &waiting, index, uncached, actions);
                 return true;
             }
         }
@@ -287,7 +290,7 @@
     fn choose(&mut self, now: Duration, waiting: &queue::Waiting) -> choice::Choice {
         let over_share = self.is_over(now, waiting);
         let priority_class = run::Class::at(self.priority(now, waiting));
-        let cached = self.cached(waiting);
+        let cached = self.cached_tokens(waiting);
         let view = choice::View {
             now,
             policy: &self.conf.policy,
@@ -298,20 +301,22 @@
             started: self.started.unwrap_or(now),
             over_share,
             priority_class,
-            long_recent: self.long.is_some_and(|at| now < at + LONG_LATELY),
+            long_recent: self.last_long.is_some_and(|at| now < at + LONG_WINDOW),
         };
         view.choose(waiting, self.turn, &mut self.rng)
     }
 
-    /// Whether the workspace is over its share while others wait too.
+    /// Whether shares are enforced now and the workspace is over its own.
     fn is_over(&mut self, now: Duration, waiting: &queue::Waiting) -> bool {
         let fair = self.conf.policy.routing == config::Routing::Predicted;
-        let contended = self.contended.is_some_and(|at| now < at + CONTENTION);
+        let contended = self
+            .last_contention
+            .is_some_and(|at| now < at + CONTENTION_WINDOW);
         fair && contended && self.shares.is_over(now, &waiting.job.workspace)
     }
 
-    /// Prompt tokens that servers are expected to hold.
-    fn cached(&self, waiting: &queue::Waiting) -> HashMap<fleet::Index, u64> {
+    /// Prompt tokens that each server is expected to have cached.
+    fn cached_tokens(&self, waiting: &queue::Waiting) -> HashMap<fleet::Index, u64> {
         let blocks = &waiting.job.blocks;
         let mut found = self.prefix.holders(blocks);
         let body_len = waiting.job.body_len.max(1);
@@ -324,8 +329,8 @@
             .collect()
     }
 
-    /// Gives a request its place.
-    fn put(
+    /// Assigns a request to a server.
+    fn assign(
         &mut self,
         now: Duration,
         waiting: &queue::Waiting,
@@ -354,7 +359,8 @@
         self.fleet.add_attempt(request, attempt);
         self.prefix.learn(index, &waiting.job.blocks);
         let workspace = &waiting.job.workspace;
-        // Work of another class may overtake; virtual time is that of the last in line.
+        // Requests of another class may overtake, so virtual time goes no further than the lowest
+        // tag still waiting.
         let tag = self
             .queue
             .first_tag()
@@ -364,12 +370,12 @@
             self.turn = self.position(&waiting.job.service, index) + 1;
         }
         self.counts.placed += 1;
-        self.counts.retries += u64::from(waiting.unpaid);
-        self.counts.refusals += u64::from(waiting.job.retry && !waiting.unpaid);
+        self.counts.retries += u64::from(waiting.needs_retry_budget);
+        self.counts.refusals += u64::from(waiting.job.retry && !waiting.needs_retry_budget);
         self.counts.prompt_tokens += waiting.prompt_tokens;
         self.counts.cached_tokens += waiting.prompt_tokens - uncached;
-        if let Some(open) = self.open.get_mut(&request) {
-            open.refused = false;
+        if let Some(known) = self.requests.get_mut(&request) {
+            known.refused = false;
         }
         let place = job::Placement {
             target,
@@ -386,32 +392,32 @@
         list.iter().position(|&other| other == index).unwrap_or(0)
     }
 
-    /// Priority for the engine: by length, far lower for workspaces over their share, and raised
-    /// with the part of the time limit that has gone.
+    /// Priority for the engine: by length, much lower for workspaces over their share, and rising
+    /// with the part of the time limit that has elapsed.
     pub(super) fn priority(&mut self, now: Duration, waiting: &queue::Waiting) -> u8 {
         if self.conf.policy.routing != config::Routing::Predicted {
-            return BASE_PRIORITY;
+            return BASELINE_PRIORITY;
         }
         let base = self.base_priority(waiting);
         if self.is_over(now, waiting) {
-            // What waits because of its own workspace's flood does not age.
-            return (base * OVER_PRIORITY) as u8;
+            // Waiting caused by the workspace's own overload does not raise the priority.
+            return (base * OVER_SHARE_PRIORITY) as u8;
         }
-        let since = self.open.get(&waiting.job.request);
-        let since = since.map_or(waiting.since, |open| open.since);
+        let since = self.requests.get(&waiting.job.request);
+        let since = since.map_or(waiting.since, |known| known.since);
         let limit = waiting.job.deadline.saturating_sub(since).as_secs_f64();
-        let gone = now.saturating_sub(since).as_secs_f64() / limit.max(1e-3);
-        (base + (255.0 - base) * gone.clamp(0.0, 1.0)) as u8
+        let elapsed = now.saturating_sub(since).as_secs_f64() / limit.max(1e-3);
+        (base + (255.0 - base) * elapsed.clamp(0.0, 1.0)) as u8
     }
 
-    /// Priority by length: each class has a range, and the shorter go first within it too.
+    /// Priority by length: each class has a range, within which shorter prompts go first too.
     fn base_priority(&self, waiting: &queue::Waiting) -> f64 {
         let policy = &self.conf.policy;
         let (high, low, from, to) = match waiting.class {
             run::Class::Short => (
                 MAX_PRIORITY,
                 run::Class::SHORT_PRIORITY,
-                policy.short_tokens / SPAN,
+                policy.short_tokens / LENGTH_SPAN,
                 policy.short_tokens,
             ),
             run::Class::Medium => (
@@ -424,7 +430,7 @@
                 run::Class::MEDIUM_PRIORITY - 1,
                 MIN_PRIORITY,
                 policy.long_tokens,
-                policy.long_tokens * SPAN,
+                policy.long_tokens * LENGTH_SPAN,
             ),
         };
         let (from, to) = (from.max(1) as f64, to.max(1) as f64);
@@ -434,17 +440,17 @@
     }
 }
 
-/// Priority of all requests under the baselines.
-const BASE_PRIORITY: u8 = 128;
+/// Priority of all requests under the baseline policies.
+const BASELINE_PRIORITY: u8 = 128;
 
 /// Priorities of the shortest and the longest prompts.
 const MAX_PRIORITY: u8 = 230;
 const MIN_PRIORITY: u8 = 31;
 
-/// The range of short prompts begins at the longest short one over this, that of long prompts
-/// ends at the shortest long one times this.
-const SPAN: u64 = 10;
+/// The range of short prompts starts at the longest short prompt divided by this; that of long
+/// prompts ends at the shortest long prompt times this.
+const LENGTH_SPAN: u64 = 10;
 
-/// Part of its priority that a request of a workspace over its share keeps: all of it goes after
-/// what is short or medium.
-const OVER_PRIORITY: f64 = 0.4;
+/// Factor on the priority of workspaces over their share. It puts all their requests behind the
+/// short and medium ones of others.
+const OVER_SHARE_PRIORITY: f64 = 0.4;
--- a/src/entry/router/gang.rs
+++ b/src/entry/router/gang.rs
@@ -1,4 +1,4 @@
-//! Places for prompts that no engine can hold alone.
+//! Placement of prompts that no engine can hold alone.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::wire::id;
 use crate::wire::outcome;
 
-/// When to come back for a prompt that the engines present are too small for together.
-const ABSENT_RETRY_MS: u64 = 5_000;
+/// Retry-after of a prompt that the engines present cannot hold together.
+const MEMORY_RETRY_MS: u64 = 5_000;
 
-/// What is known of a gang.
+/// A request that needs a gang.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Gang {
-    /// Since when its request is known. An older one goes first.
+    /// When its request arrived. Older gangs go first.
     since: Duration,
-    /// Servers that are held for it while it waits for their memory.
+    /// Servers held for it while it waits for their memory.
     held: Vec<fleet::Index>,
     /// Whether its workspace was charged.
     charged: bool,
@@ -36,14 +36,14 @@
         let is_guess = !self.estimate.knows(model);
         let tokens = self.estimate.prompt(model, job.body_len);
         let alone = tokens.saturating_add(u64::from(job.max_tokens));
-        if alone <= self.alone(now, waiting) || (is_guess && open.len() < 2) {
+        if alone <= self.single_memory(now, waiting) || (is_guess && open.len() < 2) {
             return None;
         }
         let candidates: Vec<plan::Candidate> = open.iter().map(|(_, c)| c.clone()).collect();
-        let verdict = plan::choose(&candidates, tokens, job.max_tokens, is_guess);
+        let decision = plan::choose(&candidates, tokens, job.max_tokens, is_guess);
         self.release_gang(job.request);
-        let plan = match verdict {
-            plan::Decision::Now(shares) if self.pay(now, waiting) => {
+        let plan = match decision {
+            plan::Decision::Now(shares) if self.spend_retry(now, waiting) => {
                 self.charge(now, waiting, tokens);
                 plan::Plan::Members(shares)
             }
@@ -52,7 +52,7 @@
                 self.hold_all(now, waiting, &servers);
                 plan::Plan::Wait
             }
-            // Some may come back.
+            // Members that were lost may come back.
             plan::Decision::Never if job.retry => plan::Plan::Wait,
             plan::Decision::Never => {
                 return Some(Self::too_large(job.request, tokens, largest));
@@ -68,8 +68,8 @@
         Some(Action::Placed(job.request, place))
     }
 
-    /// Memory of the largest engine, which a request that is alone there may fill.
-    fn alone(&self, now: Duration, waiting: &queue::Waiting) -> u64 {
+    /// Memory of the largest engine. A request may fill it if nothing else runs there.
+    fn single_memory(&self, now: Duration, waiting: &queue::Waiting) -> u64 {
         let list = self.fleet.service(&waiting.job.service).iter();
         let servers = list.filter_map(|&index| self.fleet.server(index));
         let open = servers.filter(|s| s.is_open(now) && s.serves(waiting.job.model.as_deref()));
@@ -78,7 +78,7 @@
             .unwrap_or(0)
     }
 
-    /// The engines that could be members.
+    /// The engines that could be members of the gang.
     fn members(
         &self,
         now: Duration,
@@ -95,11 +95,11 @@
             }
             let load = &server.announced.load;
             let memory = room::long_memory(load.memory_tokens);
-            let is_kept = self.gangs.iter().any(|(request, other)| {
+            let is_held = self.gangs.iter().any(|(request, other)| {
                 let age = (other.since, *request);
                 age < (since, job.request) && other.held.contains(&index)
             });
-            let is_usable = !is_kept && server.busy() < load.slots && server.breaker.allows(now);
+            let is_usable = !is_held && server.busy() < load.slots && server.breaker.allows(now);
             let candidate = plan::Candidate {
                 target: server.target(),
                 memory,
@@ -112,7 +112,7 @@
                 avoid: job.avoid.contains(&server.announced.server)
                     || self
                         .suspects
-                        .killed(job.fingerprint, &server.announced.server),
+                        .crashed(job.fingerprint, &server.announced.server),
             };
             Some((index, candidate))
         });
@@ -120,8 +120,8 @@
     }
 
     fn too_large(request: id::Request, tokens: u64, largest: u64) -> Action {
-        let most = largest.saturating_mul(plan::MAX_MEMBERS as u64);
-        let failure = if tokens > most {
+        let capacity = largest.saturating_mul(plan::MAX_MEMBERS as u64);
+        let failure = if tokens > capacity {
             outcome::Failure::not_run(
                 outcome::Cause::TooLong,
                 None,
@@ -130,7 +130,7 @@
         } else {
             outcome::Failure::not_run(
                 outcome::Cause::Memory,
-                Some(ABSENT_RETRY_MS),
+                Some(MEMORY_RETRY_MS),
                 "the prompt is larger than all engines present can hold together",
             )
         };
@@ -138,7 +138,7 @@
     }
 
     fn charge(&mut self, now: Duration, waiting: &queue::Waiting, tokens: u64) {
-        let gang = self.known(waiting);
+        let gang = self.gang_of(waiting);
         let was_charged = std::mem::replace(&mut gang.charged, true);
         if !was_charged {
             let cost = tokens + waiting.output_tokens;
@@ -147,10 +147,10 @@
             self.counts.prompt_tokens += tokens;
         }
         self.counts.placed += 1;
-        self.counts.retries += u64::from(waiting.unpaid);
+        self.counts.retries += u64::from(waiting.needs_retry_budget);
     }
 
-    fn known(&mut self, waiting: &queue::Waiting) -> &mut Gang {
+    fn gang_of(&mut self, waiting: &queue::Waiting) -> &mut Gang {
         let gang = self.gangs.entry(waiting.job.request);
         gang.or_insert_with(|| Gang {
             since: waiting.since,
@@ -158,8 +158,8 @@
         })
     }
 
-    /// Keeps other long work off servers until a gang has their memory. Short work may go on
-    /// using them.
+    /// Holds servers for a gang until their memory is free. They take no other medium or long
+    /// requests.
     fn hold_all(&mut self, now: Duration, waiting: &queue::Waiting, servers: &[String]) {
         let request = waiting.job.request;
         let indices: Vec<fleet::Index> = servers
@@ -173,10 +173,10 @@
                 server.held_for = Some((request, now));
             }
         }
-        self.known(waiting).held = indices;
+        self.gang_of(waiting).held = indices;
     }
 
-    /// Lets go of the servers held for a gang.
+    /// Releases the servers held for a gang.
     pub(super) fn release_gang(&mut self, request: id::Request) {
         let Some(gang) = self.gangs.get_mut(&request) else {
             return;
--- a/src/entry/share.rs
+++ b/src/entry/share.rs
@@ -5,25 +5,25 @@
 
 use crate::config;
 
-/// Workspaces remembered; idle ones go first.
+/// Most workspaces remembered. Idle ones are evicted first.
 pub const MAX_WORKSPACES: usize = 16_384;
 
 /// Virtual cost of a token for a workspace with weight 1.
-const TOKEN: u64 = 1_000;
+const TOKEN_COST: u64 = 1_000;
 
-/// How far a workspace's virtual time may run ahead: what it used in a quiet time is not held
-/// against it for long.
-const MAX_LEAD: u64 = 2_000_000 * TOKEN;
+/// How far a workspace's virtual time may run ahead of the common one. It bounds how long a
+/// workspace pays for what it used while the entry was idle.
+const MAX_LEAD: u64 = 2_000_000 * TOKEN_COST;
 
-/// Time constant of the mean use, in seconds: long enough that one large request of a small
-/// workspace is not taken for a flood.
-const MEMORY: f64 = 20.0;
+/// Time constant of the mean use. It is long enough that a single large request does not put a
+/// small workspace over its share.
+const MEAN_SECONDS: f64 = 20.0;
 
-/// Part of its fair share above which a workspace is over it.
-const OVER: f64 = 2.0;
+/// A workspace counts as over its share when it uses more than this many times the share.
+const OVER_SHARE_FACTOR: f64 = 2.0;
 
 /// Mean use, in tokens a second, below which a workspace does not count as active.
-const ACTIVE: f64 = 1.0;
+const MIN_ACTIVE_RATE: f64 = 1.0;
 
 /// An exponentially decaying mean rate.
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,21 +35,21 @@
 impl Rate {
     fn get(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.value * (-age / MEMORY).exp()
+        self.value * (-age / MEAN_SECONDS).exp()
     }
 
     fn add(&mut self, now: Duration, amount: f64) {
-        self.value = self.get(now) + amount / MEMORY;
+        self.value = self.get(now) + amount / MEAN_SECONDS;
         self.at = now;
     }
 }
 
 #[derive(Clone, Debug)]
-struct Space {
+struct Workspace {
     weight: u32,
     max_in_progress: u32,
     in_progress: u32,
-    /// Virtual time at which its work so far ends.
+    /// Virtual finish time of its work so far.
     finish: u64,
     used: Rate,
 }
@@ -57,133 +57,133 @@
 /// The workspaces' use of this entry.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
-    spaces: HashMap<String, Space>,
-    /// Virtual time: start tag of the last work that was placed. Invariant: never decreases.
-    now: u64,
+    workspaces: HashMap<String, Workspace>,
+    /// Virtual time: the highest start tag of placed work. Invariant: never decreases.
+    virtual_now: u64,
     used: Rate,
-    /// Weights of workspaces lately active, summed at `counted`.
-    active: u64,
-    counted: Option<Duration>,
+    /// Sum of the weights of recently active workspaces, as of `counted_at`.
+    active_weight: u64,
+    counted_at: Option<Duration>,
 }
 
 impl Shares {
-    /// Takes weights and limits of a configuration.
+    /// Applies the weights and limits of a configuration.
     pub fn configure(&mut self, conf: &config::Set) {
-        for (name, space) in &mut self.spaces {
-            let (weight, limit) = terms(conf, name);
-            space.weight = weight;
-            space.max_in_progress = limit;
+        for (name, state) in &mut self.workspaces {
+            let (weight, limit) = weight_and_limit(conf, name);
+            state.weight = weight;
+            state.max_in_progress = limit;
         }
     }
 
-    /// Counts a request of `workspace` in. `false`: it is at its limit.
+    /// Counts a new request of `workspace`. `false`: the workspace is at its limit.
     pub fn open(&mut self, conf: &config::Set, workspace: &str) -> bool {
-        if !self.spaces.contains_key(workspace) {
+        if !self.workspaces.contains_key(workspace) {
             self.evict();
-            let (weight, max_in_progress) = terms(conf, workspace);
-            let space = Space {
+            let (weight, max_in_progress) = weight_and_limit(conf, workspace);
+            let state = Workspace {
                 weight,
                 max_in_progress,
                 in_progress: 0,
                 finish: 0,
                 used: Rate::default(),
             };
-            self.spaces.insert(workspace.to_owned(), space);
+            self.workspaces.insert(workspace.to_owned(), state);
         }
-        let Some(space) = self.spaces.get_mut(workspace) else {
+        let Some(state) = self.workspaces.get_mut(workspace) else {
             return false;
         };
-        if space.in_progress >= space.max_in_progress {
+        if state.in_progress >= state.max_in_progress {
             return false;
         }
-        space.in_progress += 1;
+        state.in_progress += 1;
         true
     }
 
-    /// Counts a request out.
+    /// Counts the end of a request.
     pub fn close(&mut self, workspace: &str) {
-        if let Some(space) = self.spaces.get_mut(workspace) {
-            space.in_progress = space.in_progress.saturating_sub(1);
+        if let Some(state) = self.workspaces.get_mut(workspace) {
+            state.in_progress = state.in_progress.saturating_sub(1);
         }
     }
 
-    /// Start tag of work that costs `tokens`: what waits goes by ascending tags.
+    /// Start tag of work that costs `tokens`. Waiting work is placed in ascending order of tags.
     pub fn tag(&mut self, workspace: &str, tokens: u64) -> u64 {
-        let now = self.now;
-        let Some(space) = self.spaces.get_mut(workspace) else {
+        let now = self.virtual_now;
+        let Some(state) = self.workspaces.get_mut(workspace) else {
             return now;
         };
-        let start = space.finish.clamp(now, now + MAX_LEAD);
-        space.finish = start + tokens * TOKEN / u64::from(space.weight);
+        let start = state.finish.clamp(now, now + MAX_LEAD);
+        state.finish = start + tokens * TOKEN_COST / u64::from(state.weight);
         start
     }
 
-    /// Work with this tag was placed.
+    /// Records that work with this tag was placed.
     pub fn placed(&mut self, now: Duration, workspace: &str, tag: u64, tokens: u64) {
-        self.now = self.now.max(tag);
+        self.virtual_now = self.virtual_now.max(tag);
         self.used.add(now, tokens as f64);
-        if let Some(space) = self.spaces.get_mut(workspace) {
-            space.used.add(now, tokens as f64);
+        if let Some(state) = self.workspaces.get_mut(workspace) {
+            state.used.add(now, tokens as f64);
         }
     }
 
-    /// Whether a workspace lately used more than its share among those that are active.
+    /// Whether a workspace recently used more than its share among the active ones.
     pub fn is_over(&mut self, now: Duration, workspace: &str) -> bool {
-        self.count(now);
-        let Some(space) = self.spaces.get(workspace) else {
+        self.sum_active(now);
+        let Some(state) = self.workspaces.get(workspace) else {
             return false;
         };
-        let weight = u64::from(space.weight);
+        let weight = u64::from(state.weight);
         let total = self.used.get(now);
-        if self.active <= weight || total < ACTIVE {
+        if self.active_weight <= weight || total < MIN_ACTIVE_RATE {
             return false;
         }
-        let fair = total * weight as f64 / self.active as f64;
-        space.used.get(now) > OVER * fair
+        let fair = total * weight as f64 / self.active_weight as f64;
+        state.used.get(now) > OVER_SHARE_FACTOR * fair
     }
 
-    /// Sums the weights of active workspaces, once a second.
-    fn count(&mut self, now: Duration) {
-        let fresh = |at: Duration| now < at + Duration::from_secs(1);
-        if self.counted.is_some_and(fresh) {
+    /// Sums the weights of active workspaces, at most once a second.
+    fn sum_active(&mut self, now: Duration) {
+        let is_recent = |at: Duration| now < at + Duration::from_secs(1);
+        if self.counted_at.is_some_and(is_recent) {
             return;
         }
-        self.counted = Some(now);
-        self.active = self
-            .spaces
+        self.counted_at = Some(now);
+        self.active_weight = self
+            .workspaces
             .values()
-            .filter(|space| space.used.get(now) >= ACTIVE)
-            .map(|space| u64::from(space.weight))
+            .filter(|state| state.used.get(now) >= MIN_ACTIVE_RATE)
+            .map(|state| u64::from(state.weight))
             .sum();
     }
 
     /// Workspaces remembered.
     pub fn len(&self) -> usize {
-        self.spaces.len()
+        self.workspaces.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.spaces.is_empty()
+        self.workspaces.is_empty()
     }
 
-    /// Makes room for one more.
+    /// Evicts idle workspaces if the table is full.
     fn evict(&mut self) {
-        if self.spaces.len() < MAX_WORKSPACES {
+        if self.workspaces.len() < MAX_WORKSPACES {
             return;
         }
-        let now = self.now;
-        self.spaces
-            .retain(|_, space| space.in_progress > 0 || space.finish > now);
-        if self.spaces.len() < MAX_WORKSPACES {
+        let now = self.virtual_now;
+        self.workspaces
+            .retain(|_, state| state.in_progress > 0 || state.finish > now);
+        if self.workspaces.len() < MAX_WORKSPACES {
             return;
         }
-        self.spaces.retain(|_, space| space.in_progress > 0);
+        self.workspaces.retain(|_, state| state.in_progress > 0);
     }
 }
 
 /// Weight and limit of a workspace.
-fn terms(conf: &config::Set, workspace: &str) -> (u32, u32) {
+fn weight_and_limit(conf: &config::Set, workspace: &str) -> (u32, u32) {
     match conf.workspace.get(workspace) {
         Some(found) => (found.share.max(1), found.max_in_progress),
         None => (1, u32::MAX),
