--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -1,4 +1,4 @@
-//! One workspace far over its share leaves the others alone.
+//! Guards against a workspace far over its share that delays the requests of the others.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn weighted_turns() {
+fn placement_order_ignores_weight() {
     let mut conf = config::Set::default();
     conf.workspace.insert("a".to_owned(), workspace(3, 1_000));
     conf.workspace.insert("b".to_owned(), workspace(1, 1_000));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn in_progress_limit() {
+fn in_progress_limit_exceeded() {
     let mut conf = config::Set::default();
     conf.workspace.insert("w".to_owned(), workspace(1, 2));
     let mut harness = Harness::with(1, conf);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn bounded_memory() {
+fn idle_workspaces_kept() {
     let conf = config::Set::default();
     let mut shares = share::Shares::default();
     for number in 0..3 * share::MAX_WORKSPACES {
@@ -74,7 +74,7 @@
     assert!(shares.len() <= share::MAX_WORKSPACES);
 }
 
-/// Ten workspaces at an equal load that together take half of the fleet.
+/// Arrivals of ten workspaces with equal load, which together use half of the fleet.
 fn fair_load(seed: u64, time: Duration) -> Vec<model::Arrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut list = model::mix(seed, 5.0, time);
@@ -85,12 +85,12 @@
     list
 }
 
-/// p99 of the others' time to first token of short prompts, without and with the flood.
-fn flooded(seed: u64) -> (f64, f64) {
+/// p99 of the time to first token of the others' short prompts, without and with the flood.
+fn calm_and_flooded_p99(seed: u64) -> (f64, f64) {
     let time = Duration::from_secs(300);
     let calm = fair_load(seed, time);
     let mut flooded = calm.clone();
-    // The flood is ten times the load of one other workspace, over what the fleet can do.
+    // The flood has ten times the load of one other workspace and exceeds the fleet's capacity.
     for mut extra in model::mix(seed + 100, 12.0, time) {
         "flood".clone_into(&mut extra.workspace);
         extra.limit = Duration::from_secs(30);
@@ -103,7 +103,7 @@
         engines: 8,
         ..model::Settings::default()
     };
-    // The first seconds teach the routers the model's bytes a token.
+    // In the first seconds the routers still learn the model's bytes per token.
     let short = |arrival: &model::Arrival| {
         let warm = arrival.at > Duration::from_secs(10);
         warm && arrival.workspace != "flood" && arrival.tokens <= 8_000
@@ -115,8 +115,8 @@
 }
 
 #[test]
-fn flood() {
-    let runs: Vec<(f64, f64)> = (3..6).map(flooded).collect();
+fn flood_delays_others() {
+    let runs: Vec<(f64, f64)> = (3..6).map(calm_and_flooded_p99).collect();
     println!("short p99 of the others, calm and flooded: {runs:.3?}");
     let before: f64 = runs.iter().map(|run| run.0).sum();
     let after: f64 = runs.iter().map(|run| run.1).sum();
--- a/tests/prefix_affinity.rs
+++ b/tests/prefix_affinity.rs
@@ -1,4 +1,5 @@
-//! Requests go where their prefix is cached, by late news with gaps, and never all to one server.
+//! Guards against requests that miss the server with their cached prefix, use blocks that it no
+//! longer has, or all go to that one server under load.
 
 use std::collections::HashMap;
 
@@ -12,7 +13,7 @@
 
 use harness::Harness;
 
-fn news(first: u64, held: &[u64], dropped: &[u64]) -> member::Cache {
+fn cache_update(first: u64, held: &[u64], dropped: &[u64]) -> member::Cache {
     member::Cache {
         first,
         next: first + (held.len() + dropped.len()) as u64,
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn block_hashes() {
+fn block_hashes_wrong() {
     let text: Vec<u8> = (0..10_000u32).map(|n| n as u8).collect();
     let blocks = prefix::blocks(&text);
     assert_eq!(blocks.len(), 2);
@@ -37,23 +38,23 @@
 }
 
 #[test]
-fn longest_prefix() {
+fn holders_without_prefix() {
     let mut prefix = prefix::Prefix::default();
-    prefix.update(1, &news(0, &[10, 11, 12], &[]));
-    prefix.update(2, &news(0, &[10], &[]));
-    prefix.update(3, &news(0, &[11, 12], &[]));
+    prefix.update(1, &cache_update(0, &[10, 11, 12], &[]));
+    prefix.update(2, &cache_update(0, &[10], &[]));
+    prefix.update(3, &cache_update(0, &[11, 12], &[]));
     let holders = prefix.holders(&[10, 11, 12, 13]);
     assert_eq!(holders, HashMap::from([(1, 3), (2, 1)]));
-    prefix.update(1, &news(3, &[], &[12]));
+    prefix.update(1, &cache_update(3, &[], &[12]));
     assert_eq!(prefix.holders(&[10, 11, 12])[&1], 2);
 }
 
 #[test]
-fn lost_news() {
+fn stale_blocks_after_gap() {
     let mut prefix = prefix::Prefix::default();
-    prefix.update(1, &news(0, &[10, 11], &[]));
-    prefix.update(2, &news(0, &[10], &[]));
-    prefix.update(1, &news(7, &[20], &[]));
+    prefix.update(1, &cache_update(0, &[10, 11], &[]));
+    prefix.update(2, &cache_update(0, &[10], &[]));
+    prefix.update(1, &cache_update(7, &[20], &[]));
     assert_eq!(prefix.holders(&[10, 11]), HashMap::from([(2, 1)]));
     assert_eq!(prefix.holders(&[20]), HashMap::from([(1, 1)]));
     prefix.forget(2);
@@ -61,19 +62,19 @@
 }
 
 #[test]
-fn bounded_memory() {
+fn pairs_unbounded() {
     let mut prefix = prefix::Prefix::default();
     let blocks: Vec<u64> = (0..prefix::MAX_PAIRS as u64 + 10_000).collect();
     for part in blocks.chunks(1_000) {
         prefix.learn(1, part);
     }
     assert_eq!(prefix.len(), prefix::MAX_PAIRS);
-    assert!(prefix.holders(&[0]).is_empty(), "the oldest went");
+    assert!(prefix.holders(&[0]).is_empty(), "the oldest are evicted");
     assert_eq!(prefix.holders(&[blocks[blocks.len() - 1]]).len(), 1);
 }
 
 #[test]
-fn shared_prefix() {
+fn shared_prefix_overloads_holder() {
     let mut harness = Harness::new(8);
     harness.calibrate();
     let blocks: Vec<u64> = (0..20).collect();
@@ -89,9 +90,9 @@
     }
     assert!(
         servers.len() <= 2,
-        "idle: all go where the prefix is: {servers:?}"
+        "an idle fleet must use the servers with the prefix: {servers:?}"
     );
-    // Under load, when nothing ends, the others take their part.
+    // Under load, when no request ends, other servers must take requests too.
     let mut servers: HashMap<String, usize> = HashMap::new();
     for number in 1_000..1_060 {
         let mut job = fleet::job(number, 20 * 4_096);
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries stay a part of the requests, also when much of the fleet dies at once.
+//! Guards against retries beyond their budget, also when a third of the fleet crashes at once.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use harness::Harness;
 
 #[test]
-fn steady_part() {
+fn budget_exceeded() {
     let mut budget = budget::Budget::default();
     let mut taken = 0;
     for tick in 0..10_000u64 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn thin_traffic() {
+fn no_retry_at_low_traffic() {
     let mut budget = budget::Budget::default();
     assert!(budget.take(Duration::from_secs(1)), "the first is lent");
     assert!(!budget.take(Duration::from_millis(1_500)));
@@ -35,21 +35,21 @@
 }
 
 #[test]
-fn third_dies() {
+fn retry_burst_after_crash() {
     let mut harness = Harness::new(30);
     for number in 0..300 {
         harness.place(fleet::job(number, 400));
     }
     harness.announce();
-    let doomed: Vec<u128> = (0..300)
+    let lost: Vec<u128> = (0..300)
         .filter(|&number| {
             let attempt = harness.router.fleet().attempt(fleet::id(number)).unwrap();
             attempt.server < 10
         })
         .collect();
-    assert!(doomed.len() > 80, "{}", doomed.len());
+    assert!(lost.len() > 80, "{}", lost.len());
     harness.servers.drain(..10);
-    for &number in &doomed {
+    for &number in &lost {
         harness.note(number, job::Feedback::Lost);
         let mut job = fleet::job(number, 400);
         job.retry = true;
@@ -58,7 +58,7 @@
     }
     let retried = harness.router.counts().retries;
     assert!(retried <= 30, "{retried} at once after 300 requests");
-    // New requests come and go; the retries that wait follow at their pace.
+    // Each new request adds to the budget, so that the waiting retries can follow.
     let mut closed = 0;
     for number in 300..1_300 {
         harness.place(fleet::job(number, 400));
@@ -71,12 +71,12 @@
         let retried = harness.router.counts().retries;
         assert!(retried <= 30 + 2 + closed / 10, "{retried} after {closed}");
     }
-    assert_eq!(harness.router.counts().retries, doomed.len() as u64);
+    assert_eq!(harness.router.counts().retries, lost.len() as u64);
     assert_eq!(harness.router.waiting(), 0);
 }
 
 #[test]
-fn free_refusals() {
+fn refusal_takes_budget() {
     let mut harness = Harness::new(2);
     harness.place(fleet::job(1, 400));
     for turn in 0..5 {
--- a/tests/router_choice.rs
+++ b/tests/router_choice.rs
@@ -1,4 +1,4 @@
-//! The router's choice of a backend server.
+//! Guards against a request placed on an absent server, or on one with more work ahead than another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const NOW: Duration = Duration::from_secs(100);
 
 #[test]
-fn announced_server() {
+fn placed_without_server() {
     let mut router = router::Router::new(1, "a", Arc::new(config::Set::default()));
     let mut actions = Vec::new();
     let job = fleet::job(1, 4_000);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn less_work() {
+fn busier_server_chosen() {
     let mut router = router::Router::new(1, "a", Arc::new(config::Set::default()));
     let mut actions = Vec::new();
     for (name, ahead) in [("s1", 50_000), ("s2", 1_000), ("s3", 90_000)] {
--- a/tests/server_breaker.rs
+++ b/tests/server_breaker.rs
@@ -1,4 +1,5 @@
-//! A backend server that fails in a row gets no work for a while.
+//! Guards against a backend server that gets work although its consecutive failures should have
+//! opened its breaker, and against a breaker opened by failures that are not the server's.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn one_probe() {
+fn second_probe() {
     let mut breaker = breaker::Breaker::default();
     for _ in 0..3 {
         assert!(breaker.allows(at(0)));
@@ -29,17 +30,17 @@
     breaker.placed(at(500));
     assert!(!breaker.allows(at(501)), "one probe at a time");
     breaker.failed(at(600));
-    assert!(!breaker.allows(at(1_599)), "the pause doubles");
+    assert!(!breaker.allows(at(1_599)), "the open time doubles");
     assert!(breaker.allows(at(1_600)));
     breaker.placed(at(1_600));
     breaker.succeeded();
     assert!(breaker.allows(at(1_600)));
     breaker.failed(at(1_700));
-    assert!(breaker.allows(at(1_700)), "it starts anew");
+    assert!(breaker.allows(at(1_700)), "a success resets the count");
 }
 
 #[test]
-fn failing_server() {
+fn work_for_failing_server() {
     let mut harness = Harness::new(2);
     let failed = job::Feedback::Failed(outcome::Cause::ServerError);
     let mut failures = 0;
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn caller_faults() {
+fn opened_by_caller_faults() {
     let mut harness = Harness::new(1);
     for number in 0..20 {
         assert!(harness::server(&harness.place(fleet::job(number, 400))).is_some());
--- a/tests/server_leases.rs
+++ b/tests/server_leases.rs
@@ -1,4 +1,5 @@
-//! Presence by lease: who is there, who has gone, and which news counts.
+//! Guards against requests placed on servers that are absent, leave, lack the model or are still
+//! cold, and against announcements that arrive out of order.
 
 use wigeonbarrow::entry::router;
 use wigeonbarrow::wire::id;
@@ -12,7 +13,7 @@
 use harness::Harness;
 
 #[test]
-fn ended_lease() {
+fn placed_after_lease_end() {
     let mut harness = Harness::new(1);
     assert!(harness::server(&harness.place(fleet::job(1, 4_000))).is_some());
     harness.pass(2_999);
@@ -22,7 +23,7 @@
     assert_eq!(causes, [outcome::Cause::NoServer]);
     assert!(
         harness.router.fleet().index("s00").is_some(),
-        "attempts keep it"
+        "kept while it has attempts"
     );
     harness.close(1);
     harness.close(2);
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn leaving_server() {
+fn placed_on_leaving_server() {
     let mut harness = Harness::new(2);
     harness.servers[0].leaving = true;
     harness.announce();
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn late_news() {
+fn older_announcement_applied() {
     let mut harness = Harness::new(1);
     harness.servers[0].leaving = true;
     harness.announce();
@@ -66,12 +67,12 @@
     harness.step(router::Event::Announce(Box::new(late)));
     assert!(
         harness::server(&harness.place(fleet::job(3, 4_000))).is_some(),
-        "an older life changes nothing"
+        "an older incarnation changes nothing"
     );
 }
 
 #[test]
-fn missing_model() {
+fn placed_without_model() {
     let mut harness = Harness::new(3);
     harness.servers[0].models = vec!["other".to_owned()];
     harness.servers[1].models = Vec::new();
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn cold_server() {
+fn cold_server_filled() {
     let mut harness = Harness::new(1);
     harness.pass(20_000);
     harness.announce();
--- a/tests/stale_load.rs
+++ b/tests/stale_load.rs
@@ -1,4 +1,4 @@
-//! Several entries that see the load late do not all choose the same servers.
+//! Guards against herding: entries that see the load late must not all choose the same servers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 const ENGINES: usize = 10;
 
-/// The largest part of a second's work that one server got, over an even part; the mean over all
-/// seconds. Work spread by chance alone has about 2.1 here.
-fn herd(model: &model::Model) -> f64 {
+/// The mean over all seconds of the largest number of requests that one server got, relative to an
+/// even spread. Requests spread at random have about 2.1 here.
+fn herding(model: &model::Model) -> f64 {
     let mut seconds: HashMap<u64, HashMap<usize, u32>> = HashMap::new();
     for fate in &model.fates {
         if let (Some(placed), Some(server)) = (fate.placed, fate.server) {
@@ -23,7 +23,7 @@
     let parts = seconds.values().filter_map(|second| {
         let sum: u32 = second.values().sum();
         let most = second.values().max()?;
-        // Few requests cannot be even.
+        // Too few requests cannot be spread evenly.
         (sum >= 2 * ENGINES as u32).then(|| f64::from(*most) * ENGINES as f64 / f64::from(sum))
     });
     let parts: Vec<f64> = parts.collect();
@@ -37,33 +37,33 @@
         lag,
         ..model::Settings::default()
     };
-    // Prompts up to 2,500 tokens that take about half of the engines' slots.
+    // Prompts of up to 2,500 tokens that use about half of the engines' slots.
     let mut arrivals = model::mix(11, 60.0, Duration::from_secs(60));
     arrivals.retain(|arrival| arrival.tokens <= 10_000);
     for arrival in &mut arrivals {
         arrival.tokens /= 4;
-        // By then every router has had its first reports.
+        // Every router has its first reports by then.
         arrival.at += Duration::from_secs(6);
     }
     model::Model::new(settings, arrivals).run()
 }
 
 #[test]
-fn late_reports() {
+fn late_reports_cause_herding() {
     let fresh = run(Duration::ZERO);
     for seconds in [1, 5] {
         let late = run(Duration::from_secs(seconds));
-        let herd = herd(&late);
+        let herding = herding(&late);
         let attempts = f64::from(late.attempts()) / late.fates.len() as f64;
         let p99 = |model: &model::Model| model::quantile(&model.ttft(|_| true), 0.99);
         println!(
-            "{seconds} s late: herd {herd:.2}, attempts {attempts:.3}, p99 {:.3} s, fresh {:.3} s",
+            "{seconds} s late: herding {herding:.2}, attempts {attempts:.3}, p99 {:.3} s, fresh {:.3} s",
             p99(&late),
             p99(&fresh)
         );
         assert!(
-            herd <= 3.0,
-            "{seconds} s late: one server got {herd:.2} times an even part"
+            herding <= 3.0,
+            "{seconds} s late: one server got {herding:.2} times an even part"
         );
         assert!(
             attempts <= 1.1,
--- a/tests/starvation_bound.rs
+++ b/tests/starvation_bound.rs
@@ -1,4 +1,5 @@
-//! Nothing starves: long work gets its turn under a flood of short work, and the other way round.
+//! Guards against starvation of long or large requests under a flood of smaller ones, and against
+//! requests that wait although they can never be served.
 
 use std::time::Duration;
 
@@ -25,8 +26,8 @@
 }
 
 #[test]
-fn long_in_flood() {
-    // Four engines with more short and medium work than they can do for 40 s.
+fn long_starved_by_short() {
+    // For 40 s four engines get more short and medium work than they can do.
     let mut arrivals: Vec<model::Arrival> = (0..1_200)
         .map(|n| arrival(1.0 + f64::from(n) / 30.0, 2_000 + 37 * (n % 200) as u64, 40))
         .collect();
@@ -44,15 +45,15 @@
         let waits = model.ttft(|arrival| arrival.tokens == 250_000);
         println!("weight {weight}: long waits {waits:.1?}");
         assert_eq!(waits.len(), 4, "weight {weight}: each long one is answered");
-        // Twice what the engines can do is offered, and each waits less than its time limit.
+        // The load is twice the engines' capacity; still each one waits less than its time limit.
         assert!(waits[3] <= 100.0, "weight {weight}: {waits:?}");
         assert_eq!(model.whole(), model.fates.len());
     }
 }
 
 #[test]
-fn large_finds_memory() {
-    // A server of 400,000 tokens that smaller work would keep half full for ever.
+fn large_starved_of_memory() {
+    // A server of 400,000 tokens of memory that smaller requests keep half full.
     let mut harness = Harness::new(1);
     harness.calibrate();
     for number in 1..=4 {
@@ -66,16 +67,16 @@
     let mut turn = 0;
     let mut placed = Vec::new();
     while turn < 40 && !placed.contains(&fleet::id(100)) {
-        let live = harness
+        let running = harness
             .router
             .fleet()
             .server(0)
             .map_or(0, |server| server.own_attempts);
-        harness.servers[0].load.running = live;
-        harness.servers[0].load.used_tokens = 50_100 * u64::from(live);
+        harness.servers[0].load.running = running;
+        harness.servers[0].load.used_tokens = 50_100 * u64::from(running);
         let mut actions = harness.announce();
         actions.extend(harness.pass(250));
-        // One ends each second and another of its size comes.
+        // Each second one request ends and another of its size arrives.
         if turn % 4 == 3 {
             actions.extend(harness.close(turn / 4 + 1));
             actions.extend(harness.place(fleet::job(1_000 + turn, 4 * 50_000)));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn hopeless_limit() {
+fn impossible_request_accepted() {
     let mut harness = Harness::new(1);
     harness.calibrate();
     let mut job = fleet::job(1, 4 * 300_000);
--- a/tests/suspect_news.rs
+++ b/tests/suspect_news.rs
@@ -1,5 +1,6 @@
-//! Every control process tells of a crash as soon as it knows that the quorum agreed on it, not
-//! only the one that was asked: entries ask any of them.
+//! Guards against a control process that does not report a crash as soon as it knows that the quorum
+//! committed it. Every process must report it, not only the one that got the command, since entries
+//! ask any of them.
 
 use std::time::Duration;
 
@@ -13,22 +14,22 @@
 
 const LIMIT: Duration = ms(60_000);
 
-/// Some heartbeats of the leader, each of which brings what is committed.
-const SOON: Duration = ms(500);
+/// A few heartbeats of the leader, each of which carries the commit index.
+const REPORT_WITHIN: Duration = ms(500);
 
 #[test]
-fn told_by_all() {
+fn crash_unreported_by_follower() {
     for seed in 0..20 {
         let mut sim = Sim::new(3, seed);
-        let print = id::Fingerprint([7; 16]);
+        let fingerprint = id::Fingerprint([7; 16]);
         let crash = Command::Crash {
             server: "wigeon-pool-1".to_owned(),
             engine: id::Incarnation(1),
-            running: vec![print],
+            running: vec![fingerprint],
         };
-        sim.add_client(vec![crash, Command::Clear(print)]);
+        sim.add_client(vec![crash, Command::Clear(fingerprint)]);
         assert!(sim.run(LIMIT), "seed {seed}: the members agree");
-        let told = |sim: &Sim| sim.vms.iter().all(|vm| vm.news >= 2);
-        assert!(sim.run_until(SOON, told), "seed {seed}");
+        let reported = |sim: &Sim| sim.vms.iter().all(|vm| vm.news >= 2);
+        assert!(sim.run_until(REPORT_WITHIN, reported), "seed {seed}");
     }
 }
--- a/tests/suspect_spread.rs
+++ b/tests/suspect_spread.rs
@@ -1,4 +1,5 @@
-//! Requests under suspicion of killing engines are kept apart, and refused after two deaths.
+//! Guards against two requests suspected of crashing engines on one server, and against a request
+//! that is served after two crashes.
 
 use std::collections::HashSet;
 
@@ -23,9 +24,9 @@
 }
 
 #[test]
-fn own_servers() {
+fn suspects_share_server() {
     let suspects: Vec<agree::Suspect> = (1..=6).map(|n| suspect(n, &["s00"])).collect();
-    // Two entries that do not talk: their suspects do not meet either.
+    // Two entries that do not coordinate must not place suspects on the same server either.
     let mut entries = [Harness::new(12), Harness::new(12)];
     let mut taken = HashSet::new();
     for (index, harness) in entries.iter_mut().enumerate() {
@@ -33,14 +34,14 @@
         for number in 1..=3 {
             let job = fleet::job(3 * index as u128 + number, 4_000);
             let server = harness::server(&harness.place(job)).unwrap();
-            assert_ne!(server, "s00", "it died under all of them");
+            assert_ne!(server, "s00", "it crashed under all of them");
             assert!(taken.insert(server.clone()), "{server} has two suspects");
         }
     }
 }
 
 #[test]
-fn more_than_servers() {
+fn more_suspects_than_servers() {
     let suspects: Vec<agree::Suspect> = (1..=6).map(|n| suspect(n, &["gone"])).collect();
     let mut harness = Harness::new(2);
     harness.router.set_suspects(&suspects);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn quarantined_request() {
+fn quarantined_request_placed() {
     let mut harness = Harness::new(4);
     harness.router.set_suspects(&[suspect(1, &["s00", "s01"])]);
     let actions = harness.place(fleet::job(1, 4_000));
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn quarantined_in_queue() {
+fn quarantined_request_queued() {
     let mut harness = Harness::new(1);
     harness
         .router
