--- a/src/direct.rs
+++ b/src/direct.rs
@@ -6,23 +6,23 @@
 //! "not run". No input, output or clock here.
 
 pub mod backlog;
-pub mod board;
 pub mod budget;
-pub mod bulletin;
 pub mod catalog;
-pub mod fault;
+pub mod congestion;
+pub mod deadline;
 pub mod gossip;
+pub mod health;
 pub mod lane;
+pub mod load;
+pub mod membership;
 pub mod model;
-pub mod patience;
 pub mod place;
-pub mod pressure;
 pub mod quota;
 pub mod register;
 pub mod rendezvous;
-pub mod roster;
+pub mod reporter;
+pub mod retry;
 pub mod sse;
 pub mod subset;
 pub mod tally;
-pub mod verdict;
 pub mod writing;
--- a/src/edge/direct/attempt.rs
+++ b/src/edge/direct/attempt.rs
@@ -11,19 +11,19 @@
 use tokio::time;
 
 use super::Direct;
-use super::choose::Chosen;
-use super::course::Course;
+use super::choose::Assignment;
+use super::context::Context;
 use super::dialect;
 use super::pool;
 use super::progress;
 use super::reserve;
 use super::stream;
 use crate::direct::catalog;
-use crate::direct::patience;
+use crate::direct::deadline;
 use crate::direct::quota;
 use crate::direct::register;
+use crate::direct::retry;
 use crate::direct::tally;
-use crate::direct::verdict;
 use crate::edge::event::Event;
 use crate::log_event;
 
@@ -42,7 +42,7 @@
 const HUNG_UP: &str = "hung";
 
 /// A whole answer that is not a stream of events.
-pub struct Whole {
+pub struct Complete {
     /// Its head.
     pub head: response::Parts,
     /// Its body.
@@ -50,31 +50,34 @@
 }
 
 /// What an attempt came to.
-pub enum Got {
+pub enum Response {
     /// A whole answer.
-    Whole(Whole),
+    Complete(Complete),
     /// A stream, with its first events.
     Stream {
         /// Its head.
         head: Box<response::Parts>,
         /// The first events.
-        first: stream::Piece,
+        first: stream::Chunk,
         /// The rest.
         reader: Box<stream::Reader>,
     },
 }
 
 /// Why an attempt gave nothing to pass on, and what could be passed on if it was the last.
-pub struct Missed {
+pub struct Failure {
     /// How it ended.
-    pub end: verdict::End,
+    pub end: retry::Failure,
     /// The server's own failure.
-    pub answer: Option<Whole>,
+    pub response: Option<Complete>,
 }
 
-impl From<verdict::End> for Missed {
-    fn from(end: verdict::End) -> Self {
-        Self { end, answer: None }
+impl From<retry::Failure> for Failure {
+    fn from(end: retry::Failure) -> Self {
+        Self {
+            end,
+            response: None,
+        }
     }
 }
 
@@ -82,30 +85,32 @@
     /// Makes one attempt.
     pub async fn attempt(
         self: &Arc<Self>,
-        course: &mut Course,
+        context: &mut Context,
         after: Option<&str>,
-    ) -> Result<Got, Missed> {
-        let chosen = match self.choose_in_turn(course).await {
-            Ok(chosen) => chosen,
+    ) -> Result<Response, Failure> {
+        let assignment = match self.choose_in_turn(context).await {
+            Ok(assignment) => assignment,
             Err(end) => {
-                course.past.tried += 1;
+                context.history.tried += 1;
                 return Err(end.into());
             }
         };
-        let server = chosen.server.clone();
-        course.past.tried += 1;
-        let hopeless = self.hopeless(course, chosen.first_ms, after);
+        let server = assignment.server.clone();
+        context.history.tried += 1;
+        let hopeless = self.hopeless(context, assignment.first_ms, after);
         let outcome = tokio::select! {
             biased;
-            outcome = self.attempt_at(course, chosen, after) => outcome,
-            () = hopeless => Err(course.end_here().into()),
+            outcome = self.attempt_at(context, assignment, after) => outcome,
+            () = hopeless => Err(context.end_with_process().into()),
         };
-        if let Err(missed) = &outcome {
-            self.judge(course, &server, &missed.end);
-            course.tried.push(server.life);
+        if let Err(failure) = &outcome {
+            self.judge(context, &server, &failure.end);
+            context.failed_servers.push(server.life);
         } else {
             let now = self.node.now();
-            self.state().healths.answered(now, &server.life, true);
+            self.state()
+                .healths
+                .record_response(now, &server.life, true);
         }
         outcome
     }
@@ -114,24 +119,27 @@
     /// not be answered before this process ends. Its caller repeats it elsewhere in time.
     fn hopeless(
         &self,
-        course: &Course,
+        context: &Context,
         first_ms: f64,
         after: Option<&str>,
     ) -> impl Future<Output = ()> + use<> {
-        let is_sized = course.engine.is_some() && course.ask.size.is_some();
-        let may_repeat = is_sized && course.route.repeatable() && after.is_none();
-        let first = Instant::now() + patience::millis(first_ms).min(course.left());
+        let is_sized = context.engine.is_some() && context.request.size.is_some();
+        let may_repeat = is_sized && context.route.repeatable() && after.is_none();
+        let first = Instant::now() + deadline::millis(first_ms).min(context.time_left());
         // Its prompt is being read: it is only given up if it is more likely cut than answered.
-        let writing = course.mean_writing(&self.state().writing);
-        let lifetime = course.lifetime.clone();
+        let writing = context.mean_write_time(&self.state().writing);
+        let lifetime = context.lifetime.clone();
         async move {
             if !may_repeat {
                 return std::future::pending().await;
             }
-            lifetime.ending().await;
+            lifetime.stopping().await;
             loop {
                 let first = first.saturating_duration_since(Instant::now());
-                if lifetime.left().is_some_and(|left| left < first + writing) {
+                if lifetime
+                    .remaining()
+                    .is_some_and(|left| left < first + writing)
+                {
                     return;
                 }
                 time::sleep(LIFE_POLL).await;
@@ -141,43 +149,43 @@
 
     async fn attempt_at(
         self: &Arc<Self>,
-        course: &mut Course,
-        chosen: Chosen,
+        context: &mut Context,
+        assignment: Assignment,
         after: Option<&str>,
-    ) -> Result<Got, Missed> {
-        let server = chosen.server.clone();
-        let progress = course.progress.clone();
+    ) -> Result<Response, Failure> {
+        let server = assignment.server.clone();
+        let progress = context.progress.clone();
         progress.reach_at(progress::Stage::Reserving, &server.life);
-        let memory = self.reserve(course, &chosen).await?;
+        let memory = self.reserve(context, &assignment).await?;
         progress.reach(progress::Stage::Connecting);
-        let kept = course.route.repeatable() || KEPT_FOR_UNSAFE;
+        let kept = context.route.repeatable() || KEPT_FOR_UNSAFE;
         let conn = self.pool.conn(&server.life, server.addr, kept).await;
-        let mut conn = conn.map_err(|_| verdict::End::Unsent)?;
-        let request = self.request(course, &chosen, memory.as_ref(), after);
-        let wait = doubt(course, chosen.first_ms);
+        let mut conn = conn.map_err(|_| retry::Failure::Unsent)?;
+        let request = self.request(context, &assignment, memory.as_ref(), after);
+        let wait = doubt(context, assignment.first_ms);
         progress.reach(progress::Stage::Sent);
-        let sent_at = self.sent(&server.life, tally::Kind::Request);
+        let sent_at = self.record_sent(&server.life, tally::Kind::Request);
         let sent = {
             let sending = conn.send(request);
             tokio::pin!(sending);
             tokio::select! {
                 sent = &mut sending => sent,
-                why = self.give_up(course, &server, wait) => match why {
-                    Some(why) => Err(pool::Lost::Sent(why.to_owned())),
+                why = self.give_up(context, &server, wait) => match why {
+                    Some(why) => Err(pool::Failure::Sent(why.to_owned())),
                     None => sending.await,
                 },
             }
         };
         let response = match sent {
             Ok(response) => response,
-            Err(pool::Lost::Unsent(_)) => return Err(verdict::End::Unsent.into()),
-            Err(pool::Lost::Sent(why)) => {
-                course.past.ran += 1;
+            Err(pool::Failure::Unsent(_)) => return Err(retry::Failure::Unsent.into()),
+            Err(pool::Failure::Sent(why)) => {
+                context.history.ran += 1;
                 return Err(lost(&why).into());
             }
         };
         let (head, body) = response.into_parts();
-        let answer = self.dialect.answer(&head);
+        let answer = self.dialect.response(&head);
         // Another life than the one expected tells nothing of this one.
         if !answer.displaced {
             let source = if answer.sealed {
@@ -185,19 +193,19 @@
             } else {
                 quota::Source::Other
             };
-            self.take_limit(&server.life, sent_at, &head.headers, source);
+            self.observe_limit(&server.life, sent_at, &head.headers, source);
         }
-        self.take_answer(course, chosen, (conn, memory), head, body, wait)
+        self.take_answer(context, assignment, (conn, memory), head, body, wait)
             .await
     }
 
     /// Sets aside what a prompt needs of its helpers' memory.
     async fn reserve(
         self: &Arc<Self>,
-        course: &Course,
-        chosen: &Chosen,
-    ) -> Result<Option<reserve::Reservation>, verdict::End> {
-        let wanted = chosen.helpers.iter().zip(&chosen.aside);
+        context: &Context,
+        assignment: &Assignment,
+    ) -> Result<Option<reserve::Reservation>, retry::Failure> {
+        let wanted = assignment.helpers.iter().zip(&assignment.reserved_tokens);
         let wanted = wanted.filter(|(_, tokens)| **tokens > 0);
         let wanted: Vec<reserve::Wanted> = wanted
             .map(|(server, tokens)| reserve::Wanted {
@@ -208,10 +216,10 @@
         if wanted.is_empty() {
             return Ok(None);
         }
-        let name = format!("{}-{}", course.ask.id, course.past.tried);
+        let name = format!("{}-{}", context.request.id, context.history.tried);
         let memory = reserve::Reservation::take(self, &name, wanted).await;
         // Without it nothing was sent: another may have taken the memory meanwhile.
-        memory.map(Some).ok_or(verdict::End::NotRun {
+        memory.map(Some).ok_or(retry::Failure::NotRun {
             at_fault: None,
             displaced: false,
         })
@@ -219,12 +227,12 @@
 
     fn request(
         &self,
-        course: &Course,
-        chosen: &Chosen,
+        context: &Context,
+        assignment: &Assignment,
         memory: Option<&reserve::Reservation>,
         after: Option<&str>,
     ) -> http::Request<Full<Bytes>> {
-        let helpers: Vec<dialect::Helper> = chosen
+        let helpers: Vec<dialect::Helper> = assignment
             .helpers
             .iter()
             .map(|one| dialect::Helper {
@@ -235,81 +243,84 @@
             })
             .collect();
         let attempt = dialect::Attempt {
-            id: &course.ask.id,
-            server: &chosen.server,
-            left: course.left(),
-            workspace: course.workspace.as_deref(),
-            priority: course.priority,
+            id: &context.request.id,
+            server: &assignment.server,
+            time_left: context.time_left(),
+            workspace: context.workspace.as_deref(),
+            priority: context.priority,
             helpers: &helpers,
-            after: after.or(course.ask.after.as_deref()),
+            last_event_id: after.or(context.request.last_event_id.as_deref()),
         };
-        let mut request = http::Request::new(Full::new(course.body.clone()));
-        *request.method_mut() = course.head.method.clone();
-        *request.uri_mut() = origin_form(&course.head.uri);
-        *request.headers_mut() = self.dialect.attempt(&course.head, &attempt);
+        let mut request = http::Request::new(Full::new(context.body.clone()));
+        *request.method_mut() = context.head.method.clone();
+        *request.uri_mut() = origin_form(&context.head.uri);
+        *request.headers_mut() = self.dialect.attempt_headers(&context.head, &attempt);
         request
     }
 
     async fn take_answer(
         self: &Arc<Self>,
-        course: &mut Course,
-        chosen: Chosen,
+        context: &mut Context,
+        assignment: Assignment,
         means: (pool::Conn, Option<reserve::Reservation>),
         head: response::Parts,
         body: body::Incoming,
-        wait: patience::Doubt,
-    ) -> Result<Got, Missed> {
-        let answer = self.dialect.answer(&head);
+        wait: deadline::Silence,
+    ) -> Result<Response, Failure> {
+        let answer = self.dialect.response(&head);
         if answer.not_run || answer.displaced {
             if answer.displaced && answer.at_fault.is_none() {
-                self.displaced(&chosen.server.life);
+                self.server_displaced(&assignment.server.life);
             }
-            return Err(verdict::End::NotRun {
+            return Err(retry::Failure::NotRun {
                 at_fault: answer.at_fault,
                 displaced: answer.displaced,
             }
             .into());
         }
-        course.past.ran += 1;
-        let other = answer.id.as_deref().is_some_and(|id| id != course.ask.id);
+        context.history.ran += 1;
+        let other = answer
+            .id
+            .as_deref()
+            .is_some_and(|id| id != context.request.id);
         let success = head.status.is_success();
         if other || answer.encoded || (success && !answer.sealed) {
-            return Err(verdict::End::Broken.into());
+            return Err(retry::Failure::Broken.into());
         }
-        let is_stream = course.route.kind == catalog::Kind::Stream && success;
-        let mut reader = stream::Reader::new(self, chosen, means, body, &answer);
+        let is_stream = context.route.kind == catalog::Kind::Stream && success;
+        let mut reader = stream::Reader::new(self, assignment, means, body, &answer);
         if !is_stream {
-            let whole = reader.collect(MOST_WHOLE, course.left()).await;
-            let body = whole.ok_or(verdict::End::Broken)?;
-            let whole = Whole { head, body };
+            let whole = reader.collect(MOST_WHOLE, context.time_left()).await;
+            let body = whole.ok_or(retry::Failure::Broken)?;
+            let whole = Complete { head, body };
             return if whole.head.status.is_server_error() {
-                let end = verdict::End::Failed;
-                let answer = Some(whole);
-                Err(Missed { end, answer })
+                let end = retry::Failure::Failed;
+                let response = Some(whole);
+                Err(Failure { end, response })
             } else {
-                Ok(Got::Whole(whole))
+                Ok(Response::Complete(whole))
             };
         }
         let next = loop {
-            let leaves = || self.may_move(course);
-            let got = time::timeout(wait.hung, reader.next(wait.quiet, leaves)).await;
+            let leaves = || self.may_move(context);
+            let got = time::timeout(wait.move_after, reader.next(wait.probe_after, leaves)).await;
             match got {
                 Ok(next) => break next,
-                Err(_) if self.had_better_move(course, &reader.server.life) => {
-                    return Err(verdict::End::Slow.into());
+                Err(_) if self.should_move(context, &reader.server.life) => {
+                    return Err(retry::Failure::Slow.into());
                 }
                 Err(_) => {}
             }
         };
         match next {
-            stream::Next::Piece(first) => Ok(Got::Stream {
+            stream::Next::Chunk(first) => Ok(Response::Stream {
                 head: Box::new(head),
                 first,
                 reader: Box::new(reader),
             }),
             stream::Next::End => {
                 let body = Bytes::new();
-                Ok(Got::Whole(Whole { head, body }))
+                Ok(Response::Complete(Complete { head, body }))
             }
             stream::Next::Lost(end) => Err(end.into()),
         }
@@ -319,90 +330,106 @@
     /// `None` if it has to stay.
     async fn give_up(
         &self,
-        course: &Course,
+        context: &Context,
         server: &register::Record,
-        wait: patience::Doubt,
+        wait: deadline::Silence,
     ) -> Option<&'static str> {
         let hung = async {
             loop {
-                time::sleep(wait.hung).await;
-                if self.has_better(course, &server.life) {
+                time::sleep(wait.move_after).await;
+                if self.has_better_server(context, &server.life) {
                     return;
                 }
             }
         };
         let why = tokio::select! {
-            () = self.dead(server, wait.quiet) => SILENT,
+            () = self.until_unresponsive(server, wait.probe_after) => SILENT,
             () = hung => HUNG_UP,
         };
         // It has been sent, so it counts as one that may have run.
-        let mut past = course.past;
-        past.ran += 1;
-        let may = verdict::again(&course.route, &verdict::End::Slow, past, course.left());
-        (may && self.spend(&course.service)).then_some(why)
+        let mut history = context.history;
+        history.ran += 1;
+        let may = retry::is_allowed(
+            &context.route,
+            &retry::Failure::Slow,
+            history,
+            context.time_left(),
+        );
+        (may && self.spend_retry(&context.service)).then_some(why)
     }
 
     /// Draws conclusions from an attempt that failed.
-    fn judge(self: &Arc<Self>, course: &Course, server: &register::Record, end: &verdict::End) {
+    fn judge(self: &Arc<Self>, context: &Context, server: &register::Record, end: &retry::Failure) {
         let now = self.node.now();
-        self.counts.attempt(&course.service, end_name(end));
-        if self.lines.allow(Event::AttemptEnded, now) {
-            log_event!(self.node.log(), Event::AttemptEnded, "request" => &course.ask.id,
-                "server" => &server.life, "end" => format!("{end:?}"), "ran" => course.past.ran,
-                "tried" => course.past.tried, "left_ms" => course.left().as_millis() as u64);
+        self.counts.attempt_failed(&context.service, end_name(end));
+        if self.log_limiter.allow(Event::AttemptEnded, now) {
+            log_event!(self.node.log(), Event::AttemptEnded, "request" => &context.request.id,
+                "server" => &server.life, "end" => format!("{end:?}"), "ran" => context.history.ran,
+                "tried" => context.history.tried, "left_ms" => context.time_left().as_millis() as u64);
         }
-        if verdict::suspects(&course.route, end) {
-            self.suspect(&server.life);
+        if retry::suspects_server(&context.route, end) {
+            self.pause_server_everywhere(&server.life);
         }
         match end {
-            verdict::End::Unsent => self.missed(&server.life, "no connection"),
-            verdict::End::Silent => {
-                self.missed(&server.life, "silent");
-                self.died(course.fingerprint, &server.life);
+            retry::Failure::Unsent => self.pause_server(&server.life, "no connection"),
+            retry::Failure::Silent => {
+                self.pause_server(&server.life, "silent");
+                self.server_died(context.fingerprint, &server.life);
+            }
+            retry::Failure::Broken => {
+                self.check_after_disconnect(context.fingerprint, server.clone());
+            }
+            retry::Failure::Slow | retry::Failure::Failed => {
+                self.state()
+                    .healths
+                    .record_response(now, &server.life, false);
             }
-            verdict::End::Broken => self.look_after(course.fingerprint, server.clone()),
-            verdict::End::Slow | verdict::End::Failed => {
-                self.state().healths.answered(now, &server.life, false);
+            retry::Failure::NotRun { at_fault, .. } => {
+                self.pause_helper(server, at_fault.as_deref());
             }
-            verdict::End::NotRun { at_fault, .. } => self.blame(server, at_fault.as_deref()),
-            verdict::End::Away
-            | verdict::End::Limited(_)
-            | verdict::End::Late
-            | verdict::End::Ending => {}
+            retry::Failure::Away
+            | retry::Failure::Limited(_)
+            | retry::Failure::Late
+            | retry::Failure::Ending => {}
         }
     }
 }
 
 /// How long an attempt waits before it doubts its server.
-fn doubt(course: &Course, first_ms: f64) -> patience::Doubt {
-    let alone = course.engine.zip(course.ask.size);
+fn doubt(context: &Context, first_ms: f64) -> deadline::Silence {
+    let alone = context.engine.zip(context.request.size);
     let alone_ms = alone.map_or(0.0, |(engine, size)| engine.read_ms(size.prompt, 1));
     let can_move =
-        course.route.repeatable() && course.past.ran + 1 < course.route.most_servers.max(1);
-    patience::Doubt::new(&course.route, can_move, (first_ms, alone_ms), course.left())
+        context.route.repeatable() && context.history.ran + 1 < context.route.max_servers.max(1);
+    deadline::Silence::new(
+        &context.route,
+        can_move,
+        (first_ms, alone_ms),
+        context.time_left(),
+    )
 }
 
 /// What the end of a sent attempt without an answer was.
-fn lost(why: &str) -> verdict::End {
+fn lost(why: &str) -> retry::Failure {
     match why {
-        SILENT => verdict::End::Silent,
-        HUNG_UP => verdict::End::Slow,
-        _ => verdict::End::Broken,
+        SILENT => retry::Failure::Silent,
+        HUNG_UP => retry::Failure::Slow,
+        _ => retry::Failure::Broken,
     }
 }
 
-fn end_name(end: &verdict::End) -> &'static str {
+fn end_name(end: &retry::Failure) -> &'static str {
     match end {
-        verdict::End::Away => "away",
-        verdict::End::Limited(_) => "limited",
-        verdict::End::Unsent => "unsent",
-        verdict::End::NotRun { .. } => "not_run",
-        verdict::End::Broken => "broken",
-        verdict::End::Silent => "silent",
-        verdict::End::Slow => "slow",
-        verdict::End::Failed => "failed",
-        verdict::End::Late => "late",
-        verdict::End::Ending => "ending",
+        retry::Failure::Away => "away",
+        retry::Failure::Limited(_) => "limited",
+        retry::Failure::Unsent => "unsent",
+        retry::Failure::NotRun { .. } => "not_run",
+        retry::Failure::Broken => "broken",
+        retry::Failure::Silent => "silent",
+        retry::Failure::Slow => "slow",
+        retry::Failure::Failed => "failed",
+        retry::Failure::Late => "late",
+        retry::Failure::Ending => "ending",
     }
 }
 
--- a/src/edge/direct/span.rs
+++ b/src/edge/direct/span.rs
@@ -8,7 +8,7 @@
 
 use super::Direct;
 use super::progress;
-use crate::direct::verdict;
+use crate::direct::retry;
 use crate::edge::event::Event;
 use crate::log_event;
 
@@ -31,7 +31,7 @@
 impl Span {
     /// Begins with a request that has come.
     pub(super) fn new(direct: &Arc<Direct>, id: &str) -> Self {
-        direct.counts.began();
+        direct.counts.request_started();
         let (number, progress) = direct.progress.insert(id);
         Self {
             direct: Arc::clone(direct),
@@ -61,17 +61,19 @@
     pub(super) fn first(&mut self, predicted_ms: f64) {
         let took = self.began.elapsed();
         self.first = Some(took);
-        self.direct.counts.first(&self.service, took, predicted_ms);
+        self.direct
+            .counts
+            .first_response(&self.service, took, predicted_ms);
     }
 
     /// Events were passed on.
     pub(super) fn passed(&mut self, events: u32) {
-        let mut mark = self.progress.mark();
-        if mark.events > 0 {
+        let mut state = self.progress.lock();
+        if state.events > 0 {
             self.pause = self.pause.max(self.last.elapsed());
         }
         self.last = Instant::now();
-        mark.events += events;
+        state.events += events;
     }
 
     /// It was answered, or refused.
@@ -80,7 +82,7 @@
         self.ended = true;
         self.direct
             .counts
-            .ended(&self.service, status.as_str(), took);
+            .request_ended(&self.service, status.as_str(), took);
         let event = if status.is_success() {
             Event::RequestEnded
         } else {
@@ -90,22 +92,22 @@
     }
 
     /// Its answer broke off.
-    pub(super) fn cut(&mut self, lost: &verdict::End) {
+    pub(super) fn cut(&mut self, lost: &retry::Failure) {
         self.ended = true;
         let took = self.began.elapsed();
-        self.direct.counts.ended(&self.service, "cut", took);
+        self.direct.counts.request_ended(&self.service, "cut", took);
         self.log(Event::StreamCut, 0, &format!("{lost:?}"));
     }
 
     fn log(&self, event: Event, status: u16, cause: &str) {
         let now = self.direct.node.now();
-        if !self.direct.lines.allow(event, now) {
+        if !self.direct.log_limiter.allow(event, now) {
             return;
         }
         let first = self.first.map_or(0, |one| one.as_millis() as u64);
         let whole = self.began.elapsed().as_millis() as u64;
         log_event!(self.direct.node.log(), event, "request" => &self.id, "status" => status,
-            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.mark().events,
+            "cause" => cause, "first_ms" => first, "whole_ms" => whole, "events" => self.progress.lock().events,
             "pause_ms" => self.pause.as_millis() as u64);
     }
 }
@@ -113,9 +115,11 @@
 impl Drop for Span {
     fn drop(&mut self) {
         self.direct.progress.remove(self.number);
-        if !self.ended && !self.progress.mark().is_cut {
+        if !self.ended && !self.progress.lock().is_cut {
             let took = self.began.elapsed();
-            self.direct.counts.ended(&self.service, "caller left", took);
+            self.direct
+                .counts
+                .request_ended(&self.service, "caller left", took);
             self.log(Event::CallerLeft, 0, "caller left");
         }
     }
--- a/tests/common/engines.rs
+++ b/tests/common/engines.rs
@@ -29,7 +29,7 @@
     Need {
         prompt,
         answer: 1_200,
-        aim: Duration::from_millis(300),
+        objective: Duration::from_millis(300),
         bound_ms: 250,
         draw: 1,
     }
@@ -37,14 +37,14 @@
 
 pub fn long(prompt: u64) -> Need {
     Need {
-        aim: Duration::from_secs(4),
+        objective: Duration::from_secs(4),
         bound_ms: 1_000,
         ..short(prompt)
     }
 }
 
 /// The route of a kind of prompts.
-pub fn route(kind: Kind, objective: Duration, pause: Option<Duration>) -> Route {
+pub fn route(kind: Kind, objective: Duration, max_pause: Option<Duration>) -> Route {
     Route {
         name: "r".to_owned(),
         host: "h".to_owned(),
@@ -52,10 +52,10 @@
         kind,
         timeout: Duration::from_secs(15),
         objective,
-        pause,
+        max_pause,
         priority: 0,
         targets: Vec::new(),
-        most_servers: 2,
+        max_servers: 2,
         public: false,
         resumable: true,
     }
