--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -1,10 +1,10 @@
 //! The choice among the backend servers that are present.
 //!
 //! The predicted time to first token on a server is the time of the work ahead at the same or a
-//! higher priority, of the request's own uncached prefill, and of the link. Added to it is the delay
-//! that the request would cause others. Depending on the policy's `short_weight`, short and medium
-//! requests avoid servers that prefill a long prompt, and long ones avoid all servers outside the
-//! lane, the part of the fleet that is meant for them.
+//! higher priority, of the request's own uncached prefill, and of the link. Added to it is the
+//! delay that the request would cause others. Depending on the policy's `short_weight`, short and
+//! medium requests avoid servers that prefill a long prompt, and long ones avoid all servers
+//! outside the long lane, the part of the fleet that is meant for them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,8 +21,8 @@
 /// blocks first, up to this many, and random others.
 pub const SAMPLE_SIZE: usize = 64;
 
-/// Of the scored servers one in [`SERVERS_PER_DRAW`] candidates is drawn, but at least
-/// [`MIN_DRAWN`].
+/// Besides the servers with cached blocks, one server for every [`SERVERS_PER_DRAW`] candidates is
+/// drawn at random and compared, and at least [`MIN_DRAWN`].
 const SERVERS_PER_DRAW: usize = 4;
 const MIN_DRAWN: usize = 3;
 
@@ -41,8 +41,8 @@
 const TIE_PART: f64 = 0.05;
 const TIE_S: f64 = 0.001;
 
-/// A server whose work ahead takes longer than this gets no more. Further requests wait at the
-/// entry, where fair shares apply and any server may take them.
+/// A server does not get a request if the work ahead of that request takes longer than this. The
+/// request waits at the entry, where fair shares apply and any server may take it.
 const MAX_AHEAD: Duration = Duration::from_millis(500);
 
 /// Part of [`MAX_AHEAD`] that applies to workspaces over their share.
@@ -66,25 +66,26 @@
 /// How long a server still takes short requests after it is held.
 const HELD_SHORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Part of the servers that form the lane for long requests, at `short_weight` 100 and 0.
-const LANE_MIN: f64 = 0.1;
-const LANE_MAX: f64 = 0.25;
+/// Part of the servers that form the long lane, at `short_weight` 100 and 0.
+const LONG_LANE_MIN: f64 = 0.1;
+const LONG_LANE_MAX: f64 = 0.25;
 
-/// How long a long request waits for a server in the lane, and any other for one outside, before
-/// it uses idle capacity on the other side; at `short_weight` 50.
-const LANE_WAIT: Duration = Duration::from_millis(500);
+/// How long a long request waits for a server in the long lane, and any other for one outside,
+/// before it uses idle capacity on the other side; at `short_weight` 50.
+const LONG_LANE_WAIT: Duration = Duration::from_millis(500);
 
 /// The least such wait of a long request, as a part of its own prefill time.
 const LONG_WAIT_FACTOR: f64 = 0.5;
 
-/// Slots of a server in the lane that short and medium requests must leave free.
-const LANE_FREE_SLOTS: u32 = 1;
+/// Slots of a server in the long lane that short and medium requests must leave free.
+const LONG_LANE_FREE_SLOTS: u32 = 1;
 
 /// Part of the slots that may be in use during a long prefill, at `short_weight` 0 and 100.
 const BESIDE_LONG_MIN: f64 = 0.25;
 const BESIDE_LONG_MAX: f64 = 0.75;
 
-/// Factor on the wait of short and medium requests for a lane server that prefills a long prompt.
+/// Factor on the wait of short and medium requests for a server in the long lane that prefills a
+/// long prompt.
 const LONG_BUSY_FACTOR: f64 = 4.0;
 
 /// How long a request waits before it uses a server that it should avoid.
@@ -109,7 +110,8 @@
     pub suspects: &'a suspect::Suspects,
     /// Cached prompt tokens by server.
     pub cached: &'a HashMap<fleet::Index, u64>,
-    /// When this entry started. Servers that arrived within [`RAMP_TIME`] of it do not count as new.
+    /// When this entry started. Servers that arrived within [`RAMP_TIME`] of it do not count as
+    /// new.
     pub started: Duration,
     /// Whether the workspace is over its share.
     pub over_share: bool,
@@ -368,8 +370,8 @@
         ahead <= MAX_AHEAD.as_secs_f64() * part * ramp
     }
 
-    /// Whether a long request may go to a server: one long prefill at a time, and outside the lane
-    /// only after a wait, to a server without other prefill.
+    /// Whether a long request may go to a server: one long prefill at a time, and outside the long
+    /// lane only after a wait, to a server without other prefill.
     fn admits_long(
         &self,
         waiting: &queue::Waiting,
@@ -384,13 +386,13 @@
             return true;
         }
         let own = self.uncached(waiting, candidate.index) as f64 / server.rate() as f64;
-        let wait = LANE_WAIT.mul_f64(2.0 * self.weight());
+        let wait = LONG_LANE_WAIT.mul_f64(2.0 * self.weight());
         let wait = wait.max(Duration::from_secs_f64(LONG_WAIT_FACTOR * own));
         self.now >= waiting.since + wait && server.ahead(self.now, run::Class::Medium) == 0
     }
 
-    /// Whether a short or medium request may go to a server. In the lane it may only after a wait,
-    /// which is longer the less `short_weight` is.
+    /// Whether a short or medium request may go to a server. In the long lane it may only after a
+    /// wait, which is longer the less `short_weight` is.
     fn admits_others(
         &self,
         waiting: &queue::Waiting,
@@ -408,7 +410,7 @@
         if candidate.count < 2 || !self.long_recent || !self.in_long_lane(candidate) {
             return true;
         }
-        if server.busy() + slots.div_ceil(SLOTS_PER_KEPT) + LANE_FREE_SLOTS > slots {
+        if server.busy() + slots.div_ceil(SLOTS_PER_KEPT) + LONG_LANE_FREE_SLOTS > slots {
             return false;
         }
         let times = if server.has_long() {
@@ -416,7 +418,7 @@
         } else {
             1.0
         };
-        let wait = LANE_WAIT.mul_f64(2.0 * (1.0 - self.weight()) * times);
+        let wait = LONG_LANE_WAIT.mul_f64(2.0 * (1.0 - self.weight()) * times);
         self.now >= waiting.since + wait
     }
 
@@ -425,9 +427,9 @@
         f64::from(self.policy.short_weight.min(100)) / 100.0
     }
 
-    /// Whether a server is in the lane for long requests. All entries compute the same lane.
+    /// Whether a server is in the long lane. All entries compute the same lane.
     fn in_long_lane(&self, candidate: &Candidate) -> bool {
-        let part = LANE_MIN + (LANE_MAX - LANE_MIN) * (1.0 - self.weight());
+        let part = LONG_LANE_MIN + (LONG_LANE_MAX - LONG_LANE_MIN) * (1.0 - self.weight());
         let lane = (candidate.count as f64 * part).ceil() as usize;
         candidate.position < lane
     }
--- a/src/entry/gang.rs
+++ b/src/entry/gang.rs
@@ -3,10 +3,10 @@
 //! A pure state machine that runs between the router's placement of a request and its final run.
 //! The members are reserved one by one in the global order of their servers' names, all or nothing.
 //! A gang that is refused one releases the others at once and tries again after a back-off. No gang
-//! waits while it holds a reservation, so gangs cannot deadlock. Then the segments of the prompt are
-//! prefilled in sequence, each as the continuation of those before. When all are held, the final run
-//! of the request may start; the members are held until it ends. The loss of any member at any time
-//! releases all others.
+//! waits while it holds a reservation, so gangs cannot deadlock. Then the segments of the prompt
+//! are prefilled in sequence, each as the continuation of those before. When all are held, the
+//! final run of the request may start; the members are held until it ends. The loss of any member
+//! at any time releases all others.
 
 use std::ops::Range;
 use std::time::Duration;
--- a/src/entry/gang/plan.rs
+++ b/src/entry/gang/plan.rs
@@ -153,8 +153,8 @@
     Some(shares.collect())
 }
 
-/// Splits a text by the members' shares, at character boundaries. The rest after the last segment is
-/// the tail, which is not empty.
+/// Splits a text by the members' shares, at character boundaries. The rest after the last segment
+/// is the tail, which is not empty.
 pub fn split(text: &[u8], shares: &[Share]) -> Vec<Range<usize>> {
     let end = char_boundary(text, text.len().saturating_sub(TAIL_BYTES));
     let sum: u128 = shares.iter().map(|share| u128::from(share.tokens)).sum();
--- a/src/entry/prefix.rs
+++ b/src/entry/prefix.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Servers that have a prefix of `blocks`, with its number of blocks.
+    /// Servers that have a prefix of `blocks` cached, with the number of blocks in that prefix.
     pub fn holders(&self, blocks: &[u64]) -> HashMap<fleet::Index, usize> {
         let mut found = HashMap::new();
         for (index, hash) in blocks.iter().enumerate() {
--- a/src/entry/router/age.rs
+++ b/src/entry/router/age.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The server expected to have capacity for a request first. `None`: none suits, or too many are
-    /// held already.
+    /// The server expected to have capacity for a request first. `None`: none suits, or too many
+    /// are held already.
     fn choose_hold(&self, now: Duration, request: id::Request) -> Option<fleet::Index> {
         let waiting = self.queue.get(request)?;
         let list = self.fleet.service(&waiting.job.service);
--- a/src/entry/router/dispatch.rs
+++ b/src/entry/router/dispatch.rs
@@ -19,7 +19,8 @@
 use crate::wire::run;
 
 /// Requests at the front of a lane that are tried at a time, so that a large one that finds no
-/// memory does not block smaller ones behind it.
+/// memory does not block smaller ones behind it. Once it has waited long enough, a server is held
+/// for it.
 const MAX_TRIED: usize = 4;
 
 /// Tokens that a workspace is charged for a call of a plain service.
--- a/src/entry/suspect.rs
+++ b/src/entry/suspect.rs
@@ -1,4 +1,5 @@
-//! Requests suspected of crashing engines: kept on separate servers, and rejected after two crashes.
+//! Requests suspected of crashing engines: kept on separate servers, and rejected after two
+//! crashes.
 
 use std::collections::HashMap;
 
--- a/tests/router_choice.rs
+++ b/tests/router_choice.rs
@@ -1,4 +1,5 @@
-//! Guards against a request placed on an absent server, or on one with more work ahead than another.
+//! Guards against a request placed on an absent server, or on one with more work ahead than
+//! another.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/tests/router_policy.rs
+++ b/tests/router_policy.rs
@@ -1,5 +1,5 @@
-//! Guards against predicted routing that does worse than the baselines, when long prompts run beside
-//! short ones. Runs on the stand-in engine's own scheduler.
+//! Guards against predicted routing that does worse than the baselines, when long prompts run
+//! beside short ones. Runs on the stand-in engine's own scheduler.
 
 use std::time::Duration;
 
--- a/tests/suspect_news.rs
+++ b/tests/suspect_news.rs
@@ -1,6 +1,6 @@
-//! Guards against a control process that does not report a crash as soon as it knows that the quorum
-//! committed it. Every process must report it, not only the one that got the command, since entries
-//! ask any of them.
+//! Guards against a control process that does not report a crash as soon as it knows that the
+//! quorum committed it. Every process must report it, not only the one that got the command, since
+//! entries ask any of them.
 
 use std::time::Duration;
 
