--- a/src/edge/direct/health_check.rs
+++ b/src/edge/direct/health_check.rs
@@ -69,7 +69,7 @@
         None => UNRESPONSIVE,
     };
     if pace == UNRESPONSIVE {
-        direct.pause_server(&server.life, "no response to a health check");
+        direct.pause_server(&server.life, "does not report");
     }
     let is_same = (f64::from(pace) / 100.0 - before).abs() < 0.05;
     if !is_same {
@@ -81,7 +81,7 @@
 impl Direct {
     /// Sends nothing new to a server for a while, and has all other entries do the same.
     pub(super) fn pause_server_everywhere(&self, server: &register::Instance) {
-        self.pause_server(server, "a request broke off that may not be repeated");
+        self.pause_server(server, "a call broke off that may not be repeated");
         let key = load::server_key(server);
         self.broadcast(gossip::Message::Paces(vec![(key, UNRESPONSIVE)]));
     }
@@ -98,7 +98,7 @@
         };
         for (instance, pace) in known {
             if pace == UNRESPONSIVE {
-                self.pause_server(&instance, "another entry reports no response");
+                self.pause_server(&instance, "does not report to another entry");
             } else {
                 self.state()
                     .healths
--- a/src/edge/direct/probe.rs
+++ b/src/edge/direct/probe.rs
@@ -39,7 +39,7 @@
             .at(addr)
             .map(|record| record.life.clone());
         if let Some(helper) = helper {
-            self.pause_server(&helper, "failed as a helper");
+            self.pause_server(&helper, "could not help");
         }
     }
 
@@ -60,7 +60,7 @@
         let direct = Arc::clone(self);
         tokio::spawn(async move {
             if direct.probe(&server).await.is_none() {
-                direct.pause_server(&server.life, "connection broken, no response to a probe");
+                direct.pause_server(&server.life, "connection broken, and no answer since");
                 direct.server_died(fingerprint, &server.life);
             } else {
                 let now = direct.node.now();
--- a/src/edge/direct/relay.rs
+++ b/src/edge/direct/relay.rs
@@ -43,7 +43,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Cause of a rejection because the process exits before the request was admitted.
-const EXITS: &str = "this process exits";
+const EXITS: &str = "this process ends";
 
 /// Back-off after two rejected attempts, doubled with each further one. A full server may soon have
 /// capacity, and each rejected attempt counts as a retry.
@@ -138,7 +138,7 @@
         let limit = timeout.min(route.timeout);
         let Some(target) = route.target(rand::random()) else {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Err(Rejection::new(status, "the route has no backend service"));
+            return Err(Rejection::new(status, "the route leads nowhere"));
         };
         let service = target.service.clone();
         self.await_server(&service, startup_wait).await;
@@ -149,10 +149,7 @@
         let now = self.node.now();
         if self.state().suspects.is_poison(now, &fingerprint) {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            return Err(Rejection::new(
-                status,
-                "quarantined: backend servers crashed while they ran it",
-            ));
+            return Err(Rejection::new(status, "backend servers died under it"));
         }
         let began = progress.lock().began;
         progress.lock().deadline = Some(began + limit);
@@ -189,17 +186,14 @@
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let began = Instant::now();
         let Some(catalog) = self.await_catalog(startup_wait).await else {
-            return Err(Rejection::new(status, "no configuration received yet"));
+            return Err(Rejection::new(status, "no configuration known yet"));
         };
         if find_route(&catalog, request, path).is_ok() || self.is_confirmed(&catalog) {
             return Ok(catalog);
         }
         let left = startup_wait.saturating_sub(began.elapsed());
         let confirmed = self.await_confirmed(left).await;
-        confirmed.ok_or(Rejection::new(
-            status,
-            "the configuration is not confirmed as the newest yet",
-        ))
+        confirmed.ok_or(Rejection::new(status, "newest configuration not known yet"))
     }
 
     async fn relay(
@@ -235,7 +229,7 @@
             Err(_) => retry::Failure::Late.into(),
         };
         if let Some(response) = failure.response {
-            span.end(response.head.status, "error response of the backend server");
+            span.end(response.head.status, "failed by its backend server");
             return pass_on(response);
         }
         let (status, retry_after) =
@@ -355,7 +349,7 @@
                         yield Ok(body::Frame::data(chunk.bytes));
                 } else {
                         span.cut(&lost);
-                        yield Err(io::Error::other("the backend stream broke off and could not be resumed"));
+                        yield Err(io::Error::other("the answer broke off"));
                         return;
                 }
             }
@@ -437,18 +431,15 @@
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(Rejection::new(status, "the request body is too large"))
+            Err(Rejection::new(status, "its body is too large"))
         }
         Ok(Err(_)) => Err(Rejection::new(
             StatusCode::BAD_REQUEST,
-            "the request body broke off",
+            "its body broke off",
         )),
         Err(_) => {
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(Rejection::new(
-                status,
-                "the request body did not arrive in time",
-            ))
+            Err(Rejection::new(status, "its body did not come"))
         }
     }
 }
@@ -460,7 +451,7 @@
     path: &str,
 ) -> Result<(&'a catalog::Route, Option<&'a catalog::Workspace>), Rejection> {
     let Some(route) = catalog.route(&request.host, path) else {
-        return Err(Rejection::new(StatusCode::NOT_FOUND, "no route matches"));
+        return Err(Rejection::new(StatusCode::NOT_FOUND, "no such route"));
     };
     if route.public || !catalog.requires_key() {
         return Ok((route, None));
@@ -468,7 +459,7 @@
     let key = request.key.as_deref();
     match key.and_then(|key| catalog.workspace(key)) {
         Some(workspace) => Ok((route, Some(workspace))),
-        None => Err(Rejection::new(StatusCode::UNAUTHORIZED, "unknown key")),
+        None => Err(Rejection::new(StatusCode::UNAUTHORIZED, "no such key")),
     }
 }
 
