--- a/src/direct/quota.rs
+++ b/src/direct/quota.rs
@@ -85,7 +85,7 @@
 /// Permission to send one request to a server after a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The server, see [`super::board::server_key`].
+    /// The server, see [`super::load::server_key`].
     pub server: u64,
     /// Time until the request may be sent.
     pub wait: Duration,
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -198,13 +198,13 @@
     assert!(!health.is_paused(NOW, &next));
     assert!((health.pace(&next) - 1.0).abs() < 1e-9);
     assert!(health.failure_rate(NOW, &next) <= 0.0);
-    let mut board = load::Table::default();
+    let mut table = load::Table::default();
     let part = load::Segment {
         server: load::server_key(&former),
         read_ms: 900.0,
         memory: 5_000,
     };
-    board.insert(
+    table.insert(
         NOW,
         load::Claim {
             segments: vec![part],
@@ -215,7 +215,7 @@
             reads: (NOW, LATER),
         },
     );
-    let view = board.view(NOW);
+    let view = table.view(NOW);
     assert!(view.contains_key(&load::server_key(&former)));
     assert!(!view.contains_key(&load::server_key(&next)));
 }
