--- a/src/edge/direct/electorate.rs
+++ b/src/edge/direct/electorate.rs
@@ -10,7 +10,7 @@
 
 /// Time from the start for processes to discover each other before they found the first cluster.
 /// They start within some hundred milliseconds of each other.
-const DISCOVERY_TIME: Duration = Duration::from_millis(700);
+const FOUNDING_DELAY: Duration = Duration::from_millis(700);
 
 impl Direct {
     /// Gives the control role the processes that may vote, and makes them this process's view.
@@ -39,7 +39,7 @@
     /// `None`: not known yet, as long as a seed is missing, or this is no first start.
     fn founders(&self, now: Duration, voters: &[gossip::Peer]) -> Option<Vec<SocketAddr>> {
         let settings = &self.settings;
-        if !settings.first_start || now < DISCOVERY_TIME {
+        if !settings.first_start || now < FOUNDING_DELAY {
             return None;
         }
         let me = self.node.settings().link;
