--- a/src/direct/deadline.rs
+++ b/src/direct/deadline.rs
@@ -82,7 +82,7 @@
     /// Budget of a request to `route` that arrived `waited` ago and has `until_deadline` left.
     pub fn new(route: &catalog::Route, waited: Duration, until_deadline: Duration) -> Self {
         let objective = route.objective;
-        let gaps = route.pause.unwrap_or_default() * ABANDON_GAPS;
+        let gaps = route.max_pause.unwrap_or_default() * ABANDON_GAPS;
         let abandoned_after = (objective * ABANDON_OBJECTIVES)
             .max(gaps)
             .max(ABANDON_AFTER);
@@ -203,7 +203,7 @@
 /// Silence between two events of a stream after which it moves to another server although its own
 /// answers probes.
 pub fn stall_timeout(route: &catalog::Route) -> Duration {
-    let gaps = route.pause.unwrap_or_default() * STALL_GAPS;
+    let gaps = route.max_pause.unwrap_or_default() * STALL_GAPS;
     gaps.max(STALL_TIMEOUT)
 }
 
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -81,7 +81,7 @@
 }
 
 /// Short key of one instance of a backend server, as used in datagrams.
-pub fn server_key(life: &register::Life) -> u64 {
+pub fn server_key(life: &register::Instance) -> u64 {
     key(&life.to_string())
 }
 
--- a/tests/request_patience.rs
+++ b/tests/request_patience.rs
@@ -61,7 +61,7 @@
     let left = |route: &Route, waited| Budget::new(route, ms(waited), ms(10_000)).until_abandoned;
     assert_eq!(left(&short_route(), 500), ms(1_500));
     let mut slow = short_route();
-    slow.pause = Some(ms(600));
+    slow.max_pause = Some(ms(600));
     assert_eq!(left(&slow, 500), ms(4_300));
     slow.objective = ms(1_500);
     assert_eq!(left(&slow, 500), ms(5_500));
@@ -112,7 +112,7 @@
     assert!(allows(6_000, 2_000));
     assert!(!allows(4_000, 2_000), "it writes for 3.7 s");
     let mut hasty = short_route();
-    hasty.pause = None;
+    hasty.max_pause = None;
     let budget = Budget::new(&hasty, ms(500), ms(14_000));
     assert!(
         !budget.allows(&engine(), &need, ms(2_000)),
