--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -1,4 +1,4 @@
-//! A member as a whole: its log, and the agreed state that the log leads to.
+//! A control replica: the consensus log and the state machine that applies its entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,120 +12,121 @@
 use crate::config;
 use crate::wire::agree;
 
-/// Bytes of entries after which a snapshot is taken, at least, where nothing else is set.
+/// Default number of bytes of applied entries after which a snapshot is taken.
 pub const COMPACT_BYTES: usize = 32 << 20;
 
-/// Entries kept in memory behind a snapshot, for followers that are a little behind.
-const KEPT_ENTRIES: u64 = 512;
+/// Entries kept in memory after compaction, so that a slightly lagging follower needs no snapshot.
+const RETAINED_ENTRIES: u64 = 512;
 
-/// Changes of configuration that may wait for their commit at once.
-const MAX_CHANGES: usize = 8;
+/// Most configuration changes that may be uncommitted at once.
+const MAX_PENDING_CHANGES: usize = 8;
 
-/// Bytes of all files of one change. Fits a frame with room to spare.
+/// Most bytes in all files of one configuration change. Well below the maximum frame size.
 pub const MAX_CHANGE_BYTES: usize = 8 << 20;
 
-/// A proposal, as its proposer knows it.
+/// Identifies a proposal to its proposer.
 pub type Token = u64;
 
-/// What a member has to tell its caller.
+/// An event for the owner of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// What became of a proposal.
+    /// The result of a proposal.
     Verdict(Token, agree::Verdict),
-    /// This revision of the configuration is committed.
+    /// This revision of the configuration was committed.
     Committed(u64),
-    /// A newer document is committed.
+    /// A newer document was committed.
     Published,
-    /// The suspects changed.
-    Suspected,
+    /// The set of suspects may have changed.
+    SuspectsChanged,
 }
 
-/// What a member knows of another.
+/// One member in a [`Status`].
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Known {
-    /// Its link address.
+pub struct Member {
+    /// Link address.
     pub addr: SocketAddr,
-    /// Life of its data folder.
+    /// Incarnation of its data folder.
     pub life: u64,
-    /// Whether it votes.
+    /// Whether it is a voter.
     pub votes: bool,
-    /// Last index synced there. Only the leader knows of others.
+    /// Last index known to be synced there. Known for other members only on the leader.
     pub matched: Option<u64>,
 }
 
-/// What a member tells operators.
+/// A status report for operators.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Status {
-    /// What it is.
+    /// Its role in the consensus.
     pub standing: consensus::Standing,
-    /// Life of its data folder.
+    /// Incarnation of its data folder.
     pub life: u64,
-    /// Its term.
+    /// Current term.
     pub term: u64,
-    /// The leader that it knows.
+    /// The known leader.
     pub leader: Option<SocketAddr>,
-    /// Whether it leads and holds its lease: what it tells is the newest.
+    /// Whether it is the leader and holds a valid lease, so that its state is up to date.
     pub leads: bool,
     /// Last committed index.
     pub commit: u64,
     /// Last applied index.
     pub applied: u64,
-    /// Last index.
+    /// Last index in the log.
     pub tail: u64,
-    /// Last index synced here.
+    /// Last index synced to the local disk.
     pub durable: u64,
-    /// Whether its disk takes nothing.
+    /// Whether disk writes are failing.
     pub stalled: bool,
-    /// Why it takes no part any more, if so.
+    /// Why it no longer takes part in the consensus, if so.
     pub broken: Option<String>,
     /// Revision of the configuration.
     pub revision: u64,
-    /// Claims remembered.
+    /// Number of claims held.
     pub claims: usize,
-    /// The members.
-    pub members: Vec<Known>,
-    /// Addresses that may join.
+    /// Voters and learners.
+    pub members: Vec<Member>,
+    /// Addresses that are invited to join.
     pub invited: Vec<SocketAddr>,
-    /// Milliseconds for which entries have waited and none was committed. Only the leader knows.
+    /// Milliseconds for which entries have waited without any commit. Known only on the leader.
     pub waits_ms: u64,
-    /// How far each follower is. Only the leader knows.
+    /// Replication progress of each follower. Known only on the leader.
     pub followers: Vec<consensus::watch::Follower>,
-    /// Who calls and does not vote.
+    /// Processes that send messages but are not voters.
     pub callers: Vec<consensus::watch::Caller>,
 }
 
-/// A proposal that waits for the commit of its entry.
+/// A proposal whose entry is not yet committed.
 #[derive(Debug)]
-struct Waiting {
-    /// Term of the entry. Another one at its index: it is lost.
+struct Proposal {
+    /// Term of the entry. If an entry of another term is committed at its index, it is lost.
     term: u64,
     token: Token,
     is_change: bool,
 }
 
-/// A member.
+/// A control replica.
 #[derive(Debug)]
 pub struct Replica {
     raft: consensus::Raft,
     state: state::State,
-    /// Invariant: at most the commit index.
+    /// Last applied index. Invariant: at most the commit index.
     applied: u64,
-    /// Proposals that wait for the commit of their entry, by its index.
-    waiting: BTreeMap<u64, Waiting>,
-    /// Of these, changes of configuration.
-    changes: usize,
-    /// Bytes applied since the last snapshot.
-    since: usize,
-    /// Size of the last snapshot.
+    /// Proposals whose entry is not yet committed, by index of the entry.
+    waiting: BTreeMap<u64, Proposal>,
+    /// How many of `waiting` are configuration changes.
+    pending_changes: usize,
+    /// Bytes of entries applied since the last snapshot.
+    uncompacted_bytes: usize,
+    /// Size of the last snapshot in bytes.
     snapshot_bytes: usize,
     compact_bytes: usize,
-    /// A snapshot came that this version cannot read: without the state it takes no part.
+    /// Set when a snapshot cannot be decoded by this version. Without the state the replica
+    /// no longer takes part in the consensus.
     broken: Option<String>,
     out: Vec<Output>,
 }
 
 impl Replica {
-    /// A member that goes on from what its data folder held.
+    /// Starts a replica from the contents of its data folder.
     pub fn new(
         now: Duration,
         settings: consensus::Settings,
@@ -136,33 +137,33 @@
             state: state::State::default(),
             applied: 0,
             waiting: BTreeMap::new(),
-            changes: 0,
-            since: 0,
+            pending_changes: 0,
+            uncompacted_bytes: 0,
             snapshot_bytes: 0,
             compact_bytes: COMPACT_BYTES,
             broken: None,
             out: Vec::new(),
         };
-        replica.restore()?;
+        replica.restore_snapshot()?;
         Ok(replica)
     }
 
-    /// Takes a snapshot each `bytes` of entries, at least.
-    pub fn compact_each(&mut self, bytes: usize) {
+    /// Sets the minimum number of bytes of entries between two snapshots.
+    pub fn set_compact_bytes(&mut self, bytes: usize) {
         self.compact_bytes = bytes;
     }
 
-    /// Its part of the consensus.
+    /// The consensus state of this member.
     pub fn raft(&self) -> &consensus::Raft {
         &self.raft
     }
 
-    /// Why it takes no part any more, if so.
+    /// Why the replica no longer takes part in the consensus, if so.
     pub fn broken(&self) -> Option<&str> {
         self.broken.as_deref()
     }
 
-    /// The agreed state as far as applied here.
+    /// The agreed state up to [`Self::applied`].
     pub fn state(&self) -> &state::State {
         &self.state
     }
@@ -172,53 +173,53 @@
         self.applied
     }
 
-    /// Lets time pass.
+    /// Runs the timers of the consensus.
     pub fn tick(&mut self, now: Duration) {
         if self.broken.is_none() {
             self.raft.tick(now);
         }
-        self.settle();
+        self.apply_committed();
     }
 
-    /// Takes a message.
+    /// Handles a message from another member.
     pub fn receive(&mut self, now: Duration, env: message::Envelope) {
         if self.broken.is_none() {
             self.raft.receive(now, env);
         }
-        self.settle();
+        self.apply_committed();
     }
 
-    /// Takes the report that all writes up to `seq` are synced.
+    /// Records that all writes up to `seq` are synced.
     pub fn synced(&mut self, now: Duration, seq: u64) {
         self.raft.synced(now, seq);
-        self.settle();
+        self.apply_committed();
     }
 
-    /// Takes the report that the disk takes nothing now.
+    /// Records that disk writes are failing.
     pub fn stall(&mut self, now: Duration) {
         self.raft.stall(now);
-        self.settle();
+        self.apply_committed();
     }
 
-    /// Carries out an operator's order.
+    /// Starts a membership change ordered by an operator.
     pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Ordered {
         self.raft.order(now, order)
     }
 
-    /// Learns which other members there may be, and who founds the cluster.
-    pub fn know(&mut self, known: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
-        self.raft.know(known, founders);
+    /// Sets the addresses of possible members and, at the first start, of the cluster's founders.
+    pub fn set_peers(&mut self, addrs: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
+        self.raft.know(addrs, founders);
     }
 
-    /// Gives the leadership away, if there is someone to take it.
-    pub fn hand_over(&mut self, now: Duration) -> bool {
+    /// Starts a transfer of leadership to another voter, if one is eligible.
+    pub fn transfer_leadership(&mut self, now: Duration) -> bool {
         self.raft.hand_over(now)
     }
 
-    /// Puts a command. Its verdict comes later as [`Output::Verdict`], exactly once.
+    /// Proposes a command. Its verdict follows as [`Output::Verdict`], exactly once.
     pub fn propose(&mut self, now: Duration, wall_ms: u64, token: Token, command: agree::Command) {
         let limits = match &command {
-            agree::Command::Configure(change) => match self.check(now, change) {
+            agree::Command::Configure(change) => match self.validate(now, change) {
                 Ok(limits) => Some(limits),
                 Err(verdict) => return self.out.push(Output::Verdict(token, verdict)),
             },
@@ -231,29 +232,30 @@
         };
         match self.raft.propose(now, payload) {
             Some(index) => {
-                let waiting = Waiting {
+                let proposal = Proposal {
                     term: self.raft.term(),
                     token,
                     is_change: limits.is_some(),
                 };
-                self.changes += usize::from(waiting.is_change);
-                self.waiting.insert(index, waiting);
+                self.pending_changes += usize::from(proposal.is_change);
+                self.waiting.insert(index, proposal);
             }
-            None => self.refuse(token),
+            None => self.reject(token),
         }
-        self.settle();
+        self.apply_committed();
     }
 
-    /// Checks a change before it goes to the log: its limits, or why not.
-    fn check(
+    /// Validates a configuration change before it is appended to the log. Returns its limits, or
+    /// the verdict that rejects it.
+    fn validate(
         &self,
         now: Duration,
         change: &agree::Change,
     ) -> Result<state::Limits, agree::Verdict> {
-        if !self.raft.leads(now) || self.changes >= MAX_CHANGES {
+        if !self.raft.leads(now) || self.pending_changes >= MAX_PENDING_CHANGES {
             return Err(agree::Verdict::Unavailable);
         }
-        if let Some(verdict) = self.state.answered(change.id) {
+        if let Some(verdict) = self.state.recorded_verdict(change.id) {
             return Err(verdict);
         }
         let bytes: usize = change.files.iter().map(|file| file.text.len()).sum();
@@ -273,17 +275,17 @@
         }
     }
 
-    fn refuse(&mut self, token: Token) {
+    fn reject(&mut self, token: Token) {
         let verdict = agree::Verdict::Unavailable;
         self.out.push(Output::Verdict(token, verdict));
     }
 
-    /// Sends what was gathered.
+    /// Replicates the entries that were proposed since the last call.
     pub fn flush(&mut self, now: Duration) {
         self.raft.replicate(now);
     }
 
-    /// Messages to send now.
+    /// Takes the messages to send.
     pub fn take_messages(&mut self) -> Vec<message::Envelope> {
         let messages = self.raft.take_messages();
         if self.broken.is_some() {
@@ -292,7 +294,7 @@
         messages
     }
 
-    /// What is to be written next, if there is anything.
+    /// Takes the next write for the disk, if there is one.
     pub fn take_write(&mut self) -> Option<log::Write> {
         if self.broken.is_some() {
             return None;
@@ -300,15 +302,15 @@
         self.raft.take_write()
     }
 
-    /// What there is to tell.
+    /// Takes the events since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.out)
     }
 
-    /// Applies what is committed, and gives up on proposals that this member no longer leads.
-    fn settle(&mut self) {
+    /// Applies committed entries. Rejects the waiting proposals if this member is not the leader.
+    fn apply_committed(&mut self) {
         if self.broken.is_none() {
-            self.broken = self.restore().err();
+            self.broken = self.restore_snapshot().err();
         }
         if self.broken.is_some() {
             return;
@@ -317,15 +319,15 @@
             self.apply_next();
         }
         if self.raft.standing() != consensus::Standing::Leader && !self.waiting.is_empty() {
-            for waiting in std::mem::take(&mut self.waiting).into_values() {
-                self.refuse(waiting.token);
+            for proposal in std::mem::take(&mut self.waiting).into_values() {
+                self.reject(proposal.token);
             }
-            self.changes = 0;
+            self.pending_changes = 0;
         }
         self.compact();
     }
 
-    fn restore(&mut self) -> Result<(), String> {
+    fn restore_snapshot(&mut self) -> Result<(), String> {
         let Some(snapshot) = self.raft.take_restored() else {
             return Ok(());
         };
@@ -335,7 +337,7 @@
         self.state = state::State::decode(&snapshot.state)?;
         self.applied = snapshot.tail.index;
         self.snapshot_bytes = snapshot.state.len();
-        self.since = 0;
+        self.uncompacted_bytes = 0;
         let revision = self.state.conf().revision();
         if revision > 0 {
             self.out.push(Output::Committed(revision));
@@ -343,16 +345,16 @@
         if self.state.document().is_some() {
             self.out.push(Output::Published);
         }
-        self.out.push(Output::Suspected);
+        self.out.push(Output::SuspectsChanged);
         Ok(())
     }
 
     fn apply_next(&mut self) {
         let index = self.applied + 1;
         let entry = self.raft.log().get(index);
-        let entry = entry.expect("a committed entry is held until it is applied");
+        let entry = entry.expect("a committed entry is kept until it is applied");
         let term = entry.term;
-        self.since += entry.weight();
+        self.uncompacted_bytes += entry.weight();
         let mut verdict = agree::Verdict::Unavailable;
         if let log::Payload::Command {
             wall_ms,
@@ -360,60 +362,60 @@
             command,
         } = &entry.payload
         {
-            let before = self.state.conf().revision();
-            let published = self.state.published();
+            let old_revision = self.state.conf().revision();
+            let version = self.state.document_version();
             verdict = self.state.apply(entry.clock_ms, *wall_ms, *limits, command);
             let revision = self.state.conf().revision();
-            if revision > before {
+            if revision > old_revision {
                 self.out.push(Output::Committed(revision));
             }
-            if self.state.published() > published {
+            if self.state.document_version() > version {
                 self.out.push(Output::Published);
             }
             if matches!(
                 command,
                 agree::Command::Crash { .. } | agree::Command::Clear(_)
             ) {
-                self.out.push(Output::Suspected);
+                self.out.push(Output::SuspectsChanged);
             }
         }
         self.applied = index;
-        if let Some(waiting) = self.waiting.remove(&index) {
-            self.changes -= usize::from(waiting.is_change);
-            if waiting.term != term {
+        if let Some(proposal) = self.waiting.remove(&index) {
+            self.pending_changes -= usize::from(proposal.is_change);
+            if proposal.term != term {
                 verdict = agree::Verdict::Unavailable;
             }
-            self.out.push(Output::Verdict(waiting.token, verdict));
+            self.out.push(Output::Verdict(proposal.token, verdict));
         }
     }
 
     fn compact(&mut self) {
-        if self.since < self.compact_bytes.max(self.snapshot_bytes * 2) {
+        if self.uncompacted_bytes < self.compact_bytes.max(self.snapshot_bytes * 2) {
             return;
         }
         let state = self.state.encode();
-        self.since = 0;
+        self.uncompacted_bytes = 0;
         self.snapshot_bytes = state.len();
         let clock_ms = self.state.clock_ms();
         self.raft
-            .compact(self.applied, clock_ms, state, KEPT_ENTRIES);
+            .compact(self.applied, clock_ms, state, RETAINED_ENTRIES);
     }
 
-    /// What it tells operators.
+    /// Status report for operators.
     pub fn status(&self, now: Duration) -> Status {
         let raft = &self.raft;
         let membership = raft.membership();
-        let known = membership.all().map(|one| Known {
-            addr: one.addr,
-            life: one.life.0,
-            votes: membership.votes(one),
-            matched: raft.matched(one),
+        let members = membership.all().map(|member| Member {
+            addr: member.addr,
+            life: member.life.0,
+            votes: membership.votes(member),
+            matched: raft.matched(member),
         });
         Status {
             standing: raft.standing(),
             life: raft.me().life.0,
             term: raft.term(),
-            leader: raft.leader().map(|one| one.addr),
+            leader: raft.leader().map(|member| member.addr),
             leads: raft.leads(now),
             commit: raft.commit(),
             applied: self.applied,
@@ -423,8 +425,12 @@
             broken: self.broken.clone(),
             revision: self.state.conf().revision(),
             claims: self.state.claims().len(),
-            members: known.collect(),
-            invited: membership.invited.iter().map(|one| one.addr).collect(),
+            members: members.collect(),
+            invited: membership
+                .invited
+                .iter()
+                .map(|member| member.addr)
+                .collect(),
             waits_ms: raft.waits(now).as_millis() as u64,
             followers: raft.followers(now),
             callers: raft.callers(now),
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,7 +1,7 @@
-//! The agreed state: what the entries of the log lead to, alike on every member.
+//! The agreed state: the deterministic state machine that every member applies the log to.
 //!
-//! Nothing here reads a clock: time is the replicated clock that stands in each entry. Every
-//! part is bounded.
+//! Nothing here reads a local clock: time comes from the replicated clock in each entry. The
+//! size of every part is bounded.
 
 use std::collections::BTreeMap;
 
@@ -24,20 +24,20 @@
 pub use suspect::MAX_SUSPECTS;
 pub use suspect::Suspects;
 
-/// How long a slot for loading weights is held without a `Loaded`, in milliseconds.
+/// Time after which a weight loading slot expires without a `Loaded`, in milliseconds.
 pub const LOAD_TTL_MS: u64 = 300_000;
 
-/// When to come back for such a slot, in milliseconds.
+/// Retry delay when no weight loading slot is free, in milliseconds.
 const LOAD_RETRY_MS: u64 = 1_000;
 
 data! {
-    /// Limits of the state that the configuration names. The leader that took the
-    /// configuration puts them into its entry, so no member has to read it.
+    /// Limits of the state, as set by the configuration. The leader that accepted the
+    /// configuration copies them into its entry, so members need not parse the files.
     #[derive(Copy)]
     pub struct Limits {
-        /// How long a suspect is remembered, in milliseconds.
+        /// How long a suspect is kept, in milliseconds.
         pub suspect_ttl_ms: u64,
-        /// Weight loads that may run at once.
+        /// Most weight loads that may run at once.
         pub weight_loads: u32,
     }
 
@@ -49,9 +49,9 @@
         claims: Claims,
         suspects: Suspects,
         fences: Fences,
-        /// Slots for loading weights: server, and when its slot ends.
+        /// Weight loading slots in use: backend server to expiry time.
         loads: BTreeMap<String, u64>,
-        /// Newest document. Invariant: its version only grows.
+        /// Newest document. Invariant: its version never decreases.
         document: Option<agree::Document>,
     }
 }
@@ -67,12 +67,13 @@
 }
 
 impl State {
-    /// Encodes the whole state.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
-        bincode::serde::encode_to_vec(self, bincode::config::standard()).expect("a state encodes")
+        bincode::serde::encode_to_vec(self, bincode::config::standard())
+            .expect("the state can be encoded")
     }
 
-    /// The state that [`Self::encode`] was given. Empty: the first state.
+    /// Decodes what [`Self::encode`] returned. Empty input gives the initial state.
     pub fn decode(bytes: &[u8]) -> Result<Self, String> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -83,7 +84,7 @@
         if used != bytes.len() {
             return Err(format!("{} bytes too many", bytes.len() - used));
         }
-        state.claims.index();
+        state.claims.rebuild_index();
         Ok(state)
     }
 
@@ -97,17 +98,19 @@
         self.document.as_ref()
     }
 
-    /// Version of the newest document. 0: none yet.
-    pub fn published(&self) -> u64 {
-        self.document.as_ref().map_or(0, |one| one.version)
+    /// Version of the newest document, or 0 if there is none.
+    pub fn document_version(&self) -> u64 {
+        self.document
+            .as_ref()
+            .map_or(0, |document| document.version)
     }
 
-    /// Claims held.
+    /// The claims held.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// Replicated clock of the last command.
+    /// Replicated clock as of the last command, in milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
@@ -117,12 +120,12 @@
         self.suspects.list(clock_ms)
     }
 
-    /// The first verdict on a change that was put before.
-    pub fn answered(&self, change: id::Change) -> Option<agree::Verdict> {
-        self.conf.answered(change)
+    /// The recorded verdict on a change that was proposed before.
+    pub fn recorded_verdict(&self, change: id::Change) -> Option<agree::Verdict> {
+        self.conf.recorded_verdict(change)
     }
 
-    /// Carries out a command at `clock_ms`. `wall_ms` is for people only.
+    /// Applies a command at `clock_ms`. `wall_ms` is only recorded for display.
     pub fn apply(
         &mut self,
         clock_ms: u64,
@@ -144,9 +147,9 @@
                 ttl_ms,
             } => {
                 let until_ms = clock_ms.saturating_add(*ttl_ms);
-                let place = (workspace.as_str(), key.as_str());
+                let scoped_key = (workspace.as_str(), key.as_str());
                 self.claims
-                    .claim(clock_ms, place, *request, *fingerprint, until_ms)
+                    .claim(clock_ms, scoped_key, *request, *fingerprint, until_ms)
             }
             Command::Settle {
                 workspace,
@@ -155,8 +158,11 @@
                 ran,
                 status,
             } => {
-                let place = (workspace.as_str(), key.as_str());
-                match self.claims.settle(clock_ms, place, *request, *ran, *status) {
+                let scoped_key = (workspace.as_str(), key.as_str());
+                match self
+                    .claims
+                    .settle(clock_ms, scoped_key, *request, *ran, *status)
+                {
                     Some(held) => held,
                     None => self.done(),
                 }
@@ -168,25 +174,25 @@
             } => {
                 let ttl_ms = self.conf.limits().suspect_ttl_ms;
                 self.suspects
-                    .crash(clock_ms, ttl_ms, server, *engine, running);
+                    .record_crash(clock_ms, ttl_ms, server, *engine, running);
                 self.done()
             }
             Command::Clear(fingerprint) => {
                 self.suspects.clear(fingerprint);
                 self.done()
             }
-            Command::Fence { server } => agree::Verdict::Number(self.fences.draw(server)),
+            Command::Fence { server } => agree::Verdict::Number(self.fences.issue(server)),
             Command::Fenced { server } => agree::Verdict::Number(self.fences.current(server)),
             Command::Publish(document) => {
-                if document.version > self.published() {
+                if document.version > self.document_version() {
                     self.document = Some(document.clone());
                 }
                 agree::Verdict::Done {
-                    revision: self.published(),
+                    revision: self.document_version(),
                 }
             }
             Command::Newest => agree::Verdict::Newest(self.document.clone()),
-            Command::Load { server, .. } => self.load(server),
+            Command::Load { server, .. } => self.acquire_load_slot(server),
             Command::Loaded { server } => {
                 self.loads.remove(server);
                 self.done()
@@ -200,8 +206,8 @@
         }
     }
 
-    /// Grants a slot, or the one that the backend server holds already, for a new time.
-    fn load(&mut self, server: &str) -> agree::Verdict {
+    /// Grants a weight loading slot, or renews the one that the backend server already holds.
+    fn acquire_load_slot(&mut self, server: &str) -> agree::Verdict {
         let clock_ms = self.clock_ms;
         self.loads.retain(|_, until| *until > clock_ms);
         let slots = self.conf.limits().weight_loads as usize;
--- a/src/control/state/claim.rs
+++ b/src/control/state/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one run of each (workspace, key).
+//! Claims: allow at most one run for each (workspace, idempotency key).
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,82 +7,84 @@
 use crate::wire::id;
 use crate::wire::outcome;
 
-/// Most claims remembered. Above, new ones wait: at most once goes before being served.
+/// Most claims held. When full, new claims must retry later: evicting one could allow a second run.
 pub const MAX_CLAIMS: usize = 500_000;
 
-/// When to come back if there is no room, in milliseconds.
+/// Retry delay when the table is full, in milliseconds.
 const FULL_RETRY_MS: u64 = 5_000;
 
-/// How long a claim that was freed keeps its own late copies out, in milliseconds.
-const FREED_MS: u64 = 60_000;
+/// How long a freed claim still rejects late duplicates of its own request, in milliseconds.
+const FREED_TTL_MS: u64 = 60_000;
 
-/// Claims dropped at one command at most, so that none takes long.
-const MAX_EXPIRED: usize = 256;
+/// Bounds the time that one command spends on expired claims.
+const MAX_EXPIRED_PER_COMMAND: usize = 256;
 
-/// Stands for (workspace, key): half a BLAKE3 hash, so a claim's size does not hang on its key.
-type Place = id::Fingerprint;
+/// Half a BLAKE3 hash of (workspace, key), so that the size of a claim does not depend on its key.
+type Hash = id::Fingerprint;
 
 data! {
-    /// One claim.
+    /// A claim on the single run of a (workspace, key).
     struct Claim {
         request: id::Request,
         fingerprint: id::Fingerprint,
         until_ms: u64,
-        /// Its recorded outcome. `NotRun`: free for another request.
+        /// Recorded outcome. After `NotRun`, another request may take the claim.
         ended: Option<(outcome::Ran, u16)>,
     }
 
-    /// The claims.
+    /// The claims by hash of (workspace, key).
     #[derive(Default)]
     pub struct Claims {
-        claims: BTreeMap<Place, Claim>,
-        /// By end. Invariant: holds exactly those in `claims`.
+        claims: BTreeMap<Hash, Claim>,
+        /// Index by expiry time. Invariant: holds exactly the claims in `claims`.
         #[serde(skip)]
-        ends: BTreeSet<(u64, Place)>,
+        ends: BTreeSet<(u64, Hash)>,
     }
 }
 
 impl Claims {
-    /// How many are remembered.
+    /// Number of claims held.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether there is none.
+    /// Whether no claim is held.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Rebuilds what is not encoded.
-    pub(super) fn index(&mut self) {
-        let ends = self.claims.iter();
-        self.ends = ends.map(|(at, one)| (one.until_ms, *at)).collect();
+    /// Rebuilds the expiry index, which is not serialized.
+    pub(super) fn rebuild_index(&mut self) {
+        let claims = self.claims.iter();
+        self.ends = claims
+            .map(|(hash, claim)| (claim.until_ms, *hash))
+            .collect();
     }
 
-    /// Drops claims whose time has passed, a bounded number.
+    /// Removes expired claims, at most [`MAX_EXPIRED_PER_COMMAND`].
     pub(super) fn expire(&mut self, clock_ms: u64) {
-        for _ in 0..MAX_EXPIRED {
+        for _ in 0..MAX_EXPIRED_PER_COMMAND {
             match self.ends.first() {
                 Some((until, _)) if *until <= clock_ms => {}
                 _ => return,
             }
-            let (_, place) = self.ends.pop_first().expect("there is a first one");
-            self.claims.remove(&place);
+            let (_, hash) = self.ends.pop_first().expect("the index is not empty");
+            self.claims.remove(&hash);
         }
     }
 
-    /// Claims the one run of `place` for `request`.
+    /// Claims the single run of `scoped_key` (workspace, key) for `request`.
     pub(super) fn claim(
         &mut self,
         clock_ms: u64,
-        place: (&str, &str),
+        scoped_key: (&str, &str),
         request: id::Request,
         fingerprint: id::Fingerprint,
         until_ms: u64,
     ) -> agree::Verdict {
-        let place = place_of(place);
-        let held = self.claims.get(&place);
-        if let Some(held) = held.filter(|one| one.until_ms > clock_ms) {
+        let hash = hash_of(scoped_key);
+        let held = self.claims.get(&hash);
+        if let Some(held) = held.filter(|claim| claim.until_ms > clock_ms) {
             let is_own = held.request == request;
             let is_free = matches!(held.ended, Some((outcome::Ran::NotRun, _)));
             if is_own && held.ended.is_none() {
@@ -108,50 +110,50 @@
             until_ms,
             ended: None,
         };
-        self.put(place, claim);
+        self.put(hash, claim);
         agree::Verdict::Claimed
     }
 
-    /// Records the outcome of a run. `Some`: another request holds the claim.
+    /// Records the outcome of a run. Returns `Some` if another request holds the claim.
     pub(super) fn settle(
         &mut self,
         clock_ms: u64,
-        place: (&str, &str),
+        scoped_key: (&str, &str),
         request: id::Request,
         ran: outcome::Ran,
         status: u16,
     ) -> Option<agree::Verdict> {
-        let place = place_of(place);
-        let mut claim = self.claims.get(&place)?.clone();
+        let hash = hash_of(scoped_key);
+        let mut claim = self.claims.get(&hash)?.clone();
         if claim.request != request {
             return Some(agree::Verdict::Held {
                 request: claim.request,
                 ended: claim.ended,
             });
         }
-        // The first outcome stands, but what may have run can still become known.
-        let is_open = matches!(claim.ended, None | Some((outcome::Ran::MayHaveRun, _)));
-        if is_open {
+        // The first outcome is final, but `MayHaveRun` may still be replaced by a definite one.
+        let may_change = matches!(claim.ended, None | Some((outcome::Ran::MayHaveRun, _)));
+        if may_change {
             claim.ended = Some((ran, status));
             if ran == outcome::Ran::NotRun {
-                claim.until_ms = claim.until_ms.min(clock_ms.saturating_add(FREED_MS));
+                claim.until_ms = claim.until_ms.min(clock_ms.saturating_add(FREED_TTL_MS));
             }
-            self.put(place, claim);
+            self.put(hash, claim);
         }
         None
     }
 
-    fn put(&mut self, place: Place, claim: Claim) {
-        self.ends.insert((claim.until_ms, place));
+    fn put(&mut self, hash: Hash, claim: Claim) {
+        self.ends.insert((claim.until_ms, hash));
         let until_ms = claim.until_ms;
-        if let Some(old) = self.claims.insert(place, claim)
+        if let Some(old) = self.claims.insert(hash, claim)
             && old.until_ms != until_ms
         {
-            self.ends.remove(&(old.until_ms, place));
+            self.ends.remove(&(old.until_ms, hash));
         }
     }
 }
 
-fn place_of((workspace, key): (&str, &str)) -> Place {
+fn hash_of((workspace, key): (&str, &str)) -> Hash {
     id::Fingerprint::of(workspace, key, &[])
 }
--- a/src/control/state/conf.rs
+++ b/src/control/state/conf.rs
@@ -1,4 +1,4 @@
-//! The configuration, its history, and the answers to its changes.
+//! The configuration, its history, and the verdicts on its changes.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -7,33 +7,34 @@
 use crate::wire::agree;
 use crate::wire::id;
 
-/// Revisions of which the content is kept, for rollback and for whoever is behind.
+/// Revisions whose files are kept, for rollback and for processes that lag behind.
 pub const KEPT_CONTENTS: usize = 64;
 
-/// Bytes of texts kept. Above, the content of the oldest revisions goes, but for the last two.
+/// Bytes of file texts kept. Above it, files of the oldest revisions are dropped, except those of
+/// the last two.
 pub const KEPT_BYTES: usize = 16 << 20;
 
-/// Revisions of which author, note and time are kept.
+/// Revisions whose metadata is kept.
 const KEPT_METAS: usize = 2_000;
 
-/// Changes of which the first verdict is kept. One that was forgotten expects an old revision,
-/// so it can only lose.
-const KEPT_ANSWERS: usize = 10_000;
+/// Changes whose verdict is kept. A retry of an older change expects an outdated revision, so it
+/// can only conflict.
+const KEPT_VERDICTS: usize = 10_000;
 
 type Hash = [u8; 32];
 
 data! {
-    /// One revision.
+    /// Metadata of one revision.
     pub struct Meta {
-        /// Its number, from 1 without gaps.
+        /// Revision number, from 1 without gaps.
         pub revision: u64,
-        /// The change that made it.
+        /// The change that created it.
         pub change: id::Change,
-        /// Who changed.
+        /// Author of the change.
         pub author: String,
-        /// Why.
+        /// The author's note on the change.
         pub note: String,
-        /// When, by the wall clock of the leader, in milliseconds since the Unix epoch.
+        /// Wall clock of the leader at the change, in milliseconds since the Unix epoch.
         pub wall_ms: u64,
     }
 
@@ -43,11 +44,11 @@
         limits: Limits,
         /// Newest last. Invariant: revisions ascend by one.
         metas: VecDeque<Meta>,
-        /// Names and hashes of files of the newest revisions, newest last.
+        /// File names and text hashes of the newest revisions, newest last.
         contents: VecDeque<(u64, BTreeMap<String, Hash>)>,
-        /// Texts by hash. Invariant: exactly those that `contents` names.
+        /// File texts by hash. Invariant: exactly those that `contents` refers to.
         texts: BTreeMap<Hash, String>,
-        /// First verdicts on changes.
+        /// Verdicts on changes. A retried change gets the verdict of its first attempt.
         answers: BTreeMap<id::Change, agree::Verdict>,
         /// Changes in `answers`, oldest first.
         order: VecDeque<id::Change>,
@@ -55,24 +56,24 @@
 }
 
 impl Conf {
-    /// Limits that it names for the state.
+    /// Limits of the agreed state that this configuration sets.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// The revision in force. 0: none yet.
+    /// The current revision, or 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.metas.back().map_or(0, |meta| meta.revision)
     }
 
-    /// Past revisions, newest last.
+    /// Metadata of the revisions kept, newest last.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Meta> {
         self.metas.iter()
     }
 
-    /// The files of a revision, if they are still kept.
+    /// The files of a revision, or `None` if they are not kept.
     pub fn files(&self, revision: u64) -> Option<Vec<agree::File>> {
-        let (_, folder) = self.contents.iter().find(|(at, _)| *at == revision)?;
+        let (_, folder) = self.contents.iter().find(|(kept, _)| *kept == revision)?;
         let files = folder.iter().map(|(name, hash)| agree::File {
             name: name.clone(),
             text: self.texts[hash].clone(),
@@ -80,24 +81,24 @@
         Some(files.collect())
     }
 
-    pub(super) fn answered(&self, change: id::Change) -> Option<agree::Verdict> {
+    pub(super) fn recorded_verdict(&self, change: id::Change) -> Option<agree::Verdict> {
         self.answers.get(&change).cloned()
     }
 
-    /// Takes a change if it expects the revision in force.
+    /// Applies a change if it expects the current revision. A retry gets the recorded verdict.
     pub(super) fn change(
         &mut self,
         wall_ms: u64,
         limits: Option<Limits>,
         change: &agree::Change,
     ) -> agree::Verdict {
-        if let Some(verdict) = self.answered(change.id) {
+        if let Some(verdict) = self.recorded_verdict(change.id) {
             return verdict;
         }
-        let verdict = self.decide(wall_ms, limits, change);
+        let verdict = self.apply_change(wall_ms, limits, change);
         self.answers.insert(change.id, verdict.clone());
         self.order.push_back(change.id);
-        if self.order.len() > KEPT_ANSWERS
+        if self.order.len() > KEPT_VERDICTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.answers.remove(&oldest);
@@ -105,7 +106,7 @@
         verdict
     }
 
-    fn decide(
+    fn apply_change(
         &mut self,
         wall_ms: u64,
         limits: Option<Limits>,
@@ -131,11 +132,11 @@
         if self.metas.len() > KEPT_METAS {
             self.metas.pop_front();
         }
-        self.keep(revision, &change.files);
+        self.store_files(revision, &change.files);
         agree::Verdict::Done { revision }
     }
 
-    fn keep(&mut self, revision: u64, files: &[agree::File]) {
+    fn store_files(&mut self, revision: u64, files: &[agree::File]) {
         let mut folder = BTreeMap::new();
         for file in files {
             let hash: Hash = *blake3::hash(file.text.as_bytes()).as_bytes();
@@ -146,7 +147,7 @@
         while self.contents.len() > KEPT_CONTENTS
             || (self.contents.len() > 2 && self.text_bytes() > KEPT_BYTES)
         {
-            self.drop_oldest();
+            self.drop_oldest_contents();
         }
     }
 
@@ -154,13 +155,13 @@
         self.texts.values().map(String::len).sum()
     }
 
-    fn drop_oldest(&mut self) {
-        let Some((_, gone)) = self.contents.pop_front() else {
+    fn drop_oldest_contents(&mut self) {
+        let Some((_, dropped)) = self.contents.pop_front() else {
             return;
         };
-        for hash in gone.values() {
-            let mut kept = self.contents.iter();
-            if !kept.any(|(_, folder)| folder.values().any(|one| one == hash)) {
+        for hash in dropped.values() {
+            let mut rest = self.contents.iter();
+            if !rest.any(|(_, folder)| folder.values().any(|kept| kept == hash)) {
                 self.texts.remove(hash);
             }
         }
--- a/src/control/state/suspect.rs
+++ b/src/control/state/suspect.rs
@@ -1,4 +1,4 @@
-//! Suspects: requests that ran on backend servers whose engines died.
+//! Suspects: requests that were running on an engine when it crashed.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -6,14 +6,15 @@
 use crate::wire::agree;
 use crate::wire::id;
 
-/// Most suspects remembered. Above, the one that would be forgotten first goes.
+/// Most suspects kept. Above it, those with the fewest crashed servers are evicted first, and of
+/// these the ones that expire first.
 pub const MAX_SUSPECTS: usize = 20_000;
 
-/// Most backend servers remembered for one suspect.
+/// Most backend servers kept for one suspect.
 const MAX_SERVERS: usize = 8;
 
-/// Most ended lives of engines remembered.
-const MAX_LIVES: usize = 10_000;
+/// Most crashed engine incarnations kept.
+const MAX_CRASHES: usize = 10_000;
 
 data! {
     struct Suspect {
@@ -21,31 +22,31 @@
         until_ms: u64,
     }
 
-    /// The suspects.
+    /// The suspects by request fingerprint.
     #[derive(Default)]
     pub struct Suspects {
         suspects: BTreeMap<id::Fingerprint, Suspect>,
-        /// Ended lives of engines that were counted, oldest first.
+        /// Crashed engine incarnations that were counted, oldest first.
         lives: VecDeque<(String, id::Incarnation)>,
     }
 }
 
 impl Suspects {
-    /// Those in force at `clock_ms`.
+    /// The suspects that have not expired at `clock_ms`.
     pub(super) fn list(&self, clock_ms: u64) -> Vec<agree::Suspect> {
         let suspects = self.suspects.iter();
         suspects
-            .filter(|(_, one)| one.until_ms > clock_ms)
-            .map(|(fingerprint, one)| agree::Suspect {
+            .filter(|(_, suspect)| suspect.until_ms > clock_ms)
+            .map(|(fingerprint, suspect)| agree::Suspect {
                 fingerprint: *fingerprint,
-                servers: one.servers.clone(),
-                ttl_ms: one.until_ms - clock_ms,
+                servers: suspect.servers.clone(),
+                ttl_ms: suspect.until_ms - clock_ms,
             })
             .collect()
     }
 
-    /// Counts the death of an engine, each of its lives once.
-    pub(super) fn crash(
+    /// Records an engine crash. Each incarnation of an engine counts once.
+    pub(super) fn record_crash(
         &mut self,
         clock_ms: u64,
         ttl_ms: u64,
@@ -53,35 +54,36 @@
         engine: id::Incarnation,
         running: &[id::Fingerprint],
     ) {
-        let life = (server.to_owned(), engine);
-        if self.lives.contains(&life) {
+        let crashed = (server.to_owned(), engine);
+        if self.lives.contains(&crashed) {
             return;
         }
-        self.lives.push_back(life);
-        if self.lives.len() > MAX_LIVES {
+        self.lives.push_back(crashed);
+        if self.lives.len() > MAX_CRASHES {
             self.lives.pop_front();
         }
-        self.suspects.retain(|_, one| one.until_ms > clock_ms);
+        self.suspects
+            .retain(|_, suspect| suspect.until_ms > clock_ms);
         for fingerprint in running {
             let suspect = self.suspects.entry(*fingerprint).or_insert(Suspect {
                 servers: Vec::new(),
                 until_ms: 0,
             });
             suspect.until_ms = clock_ms.saturating_add(ttl_ms);
-            let is_new = !suspect.servers.iter().any(|one| one == server);
+            let is_new = !suspect.servers.iter().any(|known| known == server);
             if is_new && suspect.servers.len() < MAX_SERVERS {
                 suspect.servers.push(server.to_owned());
             }
         }
-        self.drop_oldest();
+        self.evict();
     }
 
-    /// A request of that fingerprint ran to its end.
+    /// Removes a suspect after a request with its fingerprint has completed.
     pub(super) fn clear(&mut self, fingerprint: &id::Fingerprint) {
         self.suspects.remove(fingerprint);
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict(&mut self) {
         let over = self.suspects.len().saturating_sub(MAX_SUSPECTS);
         if over == 0 {
             return;
@@ -89,8 +91,8 @@
         let mut order: Vec<(usize, u64, id::Fingerprint)> = self
             .suspects
             .iter()
-            // Quarantined ones stay before those that only one crash names.
-            .map(|(fingerprint, one)| (one.servers.len(), one.until_ms, *fingerprint))
+            // Evict suspects of a single crash before quarantined ones.
+            .map(|(fingerprint, suspect)| (suspect.servers.len(), suspect.until_ms, *fingerprint))
             .collect();
         order.sort_unstable();
         for (_, _, fingerprint) in order.into_iter().take(over) {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -112,7 +112,7 @@
     }
     drain(&node, &front, settings, &mut signals).await;
     if let Some(control) = node.control() {
-        control.hand_over(HAND_OVER).await;
+        control.transfer_leadership(HAND_OVER).await;
     }
     stop.notify();
     let _ = web.await;
--- a/src/edge/control.rs
+++ b/src/edge/control.rs
@@ -1,4 +1,4 @@
-//! The control role: disk, timers and links around [`crate::control`].
+//! The control role: runs [`crate::control`] with a disk, timers and links.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -31,41 +31,41 @@
 mod share;
 mod watch;
 
-/// Time for a proposal here, below the time that its asker gives.
+/// Timeout of a proposal at this member. Shorter than the timeout of the process that sent it.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Time for a question to the core thread.
+/// Timeout of a request to the core thread.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long an answer to `Hello` is used for others that ask.
-const VIEW_HOLDS: Duration = Duration::from_millis(100);
+/// How long an answer to `Hello` is cached.
+const VIEW_TTL: Duration = Duration::from_millis(100);
 
 /// Settings of the control role.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The data folder.
     pub data: PathBuf,
-    /// Link addresses of the first members, this process's own among them. Used only when the
-    /// data folder is made.
+    /// Link addresses of the initial members, including this process. Used only when the data
+    /// folder is created.
     pub members: Vec<SocketAddr>,
-    /// Whether the members above found the first cluster. `false`: they are told later, by
-    /// [`Control::know`].
+    /// Whether `members` found the cluster. If `false`, [`Control::set_peers`] sets the founders
+    /// later.
     pub founds: bool,
-    /// How members come and go.
+    /// How members are admitted and removed.
     pub admission: consensus::Admission,
     /// Bytes of entries after which a snapshot is taken. Half of it bounds what a restart reads.
     pub compact_bytes: usize,
 }
 
-/// What the threads and tasks of the role share.
+/// State shared by the threads and tasks of the role.
 #[derive(Default)]
 pub struct Shared {
-    /// The leader known here.
+    /// The known leader.
     pub(crate) leader: ArcSwap<Option<SocketAddr>>,
-    /// Suspects in force.
+    /// Suspects that have not expired.
     pub(crate) suspects: ArcSwap<Vec<agree::Suspect>>,
-    /// Newest committed configuration that is not yet installed here.
-    pub(crate) newest: Mutex<Option<(u64, Vec<agree::File>)>>,
+    /// Newest committed configuration that the install thread has not yet taken: revision, files.
+    pub(crate) pending_conf: Mutex<Option<(u64, Vec<agree::File>)>>,
 }
 
 /// The control role.
@@ -79,8 +79,8 @@
 }
 
 impl Control {
-    /// Opens the data folder and starts the role's threads and tasks. To be called within a
-    /// runtime, which carries its links.
+    /// Opens the data folder and starts the role's threads and tasks. Must be called within a
+    /// Tokio runtime, which then runs the links.
     pub fn start(node: &Arc<node::Node>, settings: Settings) -> anyhow::Result<Arc<Self>> {
         let addr = node.settings().link;
         let opened = disk::Disk::open(&settings.data, addr, node.incarnation())?;
@@ -104,10 +104,10 @@
         };
         let mut replica = replica::Replica::new(node.now(), consensus, opened.saved)
             .map_err(|why| anyhow::anyhow!("snapshot of the agreed state: {why}"))?;
-        replica.compact_each(settings.compact_bytes);
+        replica.set_compact_bytes(settings.compact_bytes);
         let shared = Arc::new(Shared::default());
-        let (inputs, taken) = channel::bounded(core::INPUTS);
-        let threads = core::Core::start(node, &shared, replica, opened.disk, taken)?;
+        let (inputs, input_queue) = channel::bounded(core::INPUT_QUEUE_LEN);
+        let threads = core::Core::start(node, &shared, replica, opened.disk, input_queue)?;
         let control = Arc::new(Self {
             node: Arc::clone(node),
             shared,
@@ -125,7 +125,7 @@
         match ask {
             rpc::Ask::Hello(peer) => rpc::Answer::View(self.hello(peer)),
             rpc::Ask::Present(peers) => {
-                self.presence.told(self.node.now(), peers);
+                self.presence.merge(self.node.now(), peers);
                 rpc::Answer::Ack
             }
             rpc::Ask::Propose(command) => rpc::Answer::Verdict(self.propose(command).await),
@@ -146,10 +146,10 @@
                 }
             }
             message::Packet::Forward(command) => {
-                rpc::Answer::Verdict(self.propose_here(command).await)
+                rpc::Answer::Verdict(self.propose_locally(command).await)
             }
             message::Packet::Order(order) => {
-                let verdict = match self.order_here(order).await {
+                let verdict = match self.order_locally(order).await {
                     member::Ordered::Taken => agree::Verdict::Done { revision: 0 },
                     member::Ordered::Refused(why) => agree::Verdict::Invalid(vec![why]),
                     member::Ordered::Unavailable => agree::Verdict::Unavailable,
@@ -159,11 +159,11 @@
         }
     }
 
-    /// Puts a command to the agreed state, at the leader. `Unavailable`: not done, or not known
-    /// to be done; every command may be put again.
+    /// Proposes a command to the leader. After `Unavailable` the command may or may not have been
+    /// applied. Every command may be retried.
     pub async fn propose(&self, command: agree::Command) -> agree::Verdict {
         match self.other_leader() {
-            None => self.propose_here(command).await,
+            None => self.propose_locally(command).await,
             Some(addr) => {
                 let packet = message::Packet::Forward(command);
                 self.forward(addr, &packet).await
@@ -171,7 +171,7 @@
         }
     }
 
-    async fn propose_here(&self, command: agree::Command) -> agree::Verdict {
+    async fn propose_locally(&self, command: agree::Command) -> agree::Verdict {
         let (reply, verdict) = oneshot::channel();
         let input = core::Input::Propose(command, reply);
         if self.inputs.try_send(input).is_err() {
@@ -183,15 +183,15 @@
         }
     }
 
-    /// The leader, if it is another process.
+    /// The known leader, if it is another process.
     fn other_leader(&self) -> Option<SocketAddr> {
         let leader = **self.shared.leader.load();
         leader.filter(|addr| *addr != self.node.settings().link)
     }
 
     async fn forward(&self, addr: SocketAddr, packet: &message::Packet) -> agree::Verdict {
-        let ask = rpc::Ask::Consensus(packet.encode());
-        match self.node.link(addr).ask(&ask, PROPOSE_TIMEOUT).await {
+        let request = rpc::Ask::Consensus(packet.encode());
+        match self.node.link(addr).ask(&request, PROPOSE_TIMEOUT).await {
             Ok(rpc::Answer::Verdict(verdict)) => verdict,
             _ => agree::Verdict::Unavailable,
         }
@@ -201,23 +201,23 @@
         let now = self.node.now();
         self.presence.hello(now, peer);
         let mut view = self.view.lock().expect("view lock");
-        if let Some((at, view)) = &*view
-            && now < *at + VIEW_HOLDS
+        if let Some((built_at, view)) = &*view
+            && now < *built_at + VIEW_TTL
         {
             return view.clone();
         }
-        let made = self.make_view(now);
-        *view = Some((now, made.clone()));
-        made
+        let built = self.build_view(now);
+        *view = Some((now, built.clone()));
+        built
     }
 
-    fn make_view(&self, now: Duration) -> rpc::View {
-        let me = self.me();
+    fn build_view(&self, now: Duration) -> rpc::View {
+        let own = self.own_peer();
         let mut peers = self.presence.list(now, |peer| {
-            peer.role != wire_member::Role::Sidecar && peer.name != me.name
+            peer.role != wire_member::Role::Sidecar && peer.name != own.name
         });
-        peers.push(me);
-        // The leader first: whoever proposes asks in this order.
+        peers.push(own);
+        // Leader first: processes try the peers in this order when they propose.
         let leader = **self.shared.leader.load();
         peers.sort_by_key(|peer| Some(peer.link) != leader);
         let suspects = self.shared.suspects.load();
@@ -227,7 +227,7 @@
         }
     }
 
-    fn me(&self) -> wire_member::Peer {
+    fn own_peer(&self) -> wire_member::Peer {
         let settings = self.node.settings();
         wire_member::Peer {
             role: wire_member::Role::Control,
@@ -239,19 +239,18 @@
         }
     }
 
-    /// All processes that said hello lately, with the revision in force there.
-    pub fn present(&self) -> Vec<wire_member::Peer> {
+    /// All processes with a valid presence lease, with the configuration revision that each runs.
+    pub fn live(&self) -> Vec<wire_member::Peer> {
         self.presence.list(self.node.now(), |_| true)
     }
 
-    /// What this member knows of itself and the others. `None`: its core thread ended or is
-    /// overloaded.
+    /// Status of this member, or `None` if its core thread has ended or is overloaded.
     pub async fn status(&self) -> Option<replica::Status> {
         self.read(replica::Replica::status).await
     }
 
-    /// The last `count` revisions of the configuration, newest first, as far as this member
-    /// knows.
+    /// The last `count` revisions of the configuration that this member has applied, newest
+    /// first.
     pub async fn history(&self, count: usize) -> Option<Vec<state::Meta>> {
         self.read(move |replica, _| {
             let history = replica.state().conf().history().rev();
@@ -260,7 +259,7 @@
         .await
     }
 
-    /// The files of a revision. `Some(None)`: it is not kept.
+    /// The files of a revision, or `Some(None)` if they are not kept.
     pub async fn files(&self, revision: u64) -> Option<Option<Vec<agree::File>>> {
         self.read(move |replica, _| replica.state().conf().files(revision))
             .await
@@ -278,11 +277,11 @@
         time::timeout(READ_TIMEOUT, answer).await.ok()?.ok()
     }
 
-    /// Carries out an operator's order on the members, at the leader. `Taken` means begun:
-    /// [`Self::status`] shows when it is done.
+    /// Sends an operator's membership change to the leader. `Taken` means that it has started:
+    /// [`Self::status`] shows when it is complete.
     pub async fn order(&self, order: member::Order) -> member::Ordered {
         let Some(addr) = self.other_leader() else {
-            return self.order_here(order).await;
+            return self.order_locally(order).await;
         };
         match self.forward(addr, &message::Packet::Order(order)).await {
             agree::Verdict::Done { .. } => member::Ordered::Taken,
@@ -291,7 +290,7 @@
         }
     }
 
-    async fn order_here(&self, order: member::Order) -> member::Ordered {
+    async fn order_locally(&self, order: member::Order) -> member::Ordered {
         let (reply, ordered) = oneshot::channel();
         let input = core::Input::Order(order, reply);
         if self.inputs.try_send(input).is_err() {
@@ -303,35 +302,37 @@
         }
     }
 
-    /// The leader known here.
+    /// The known leader.
     pub fn leader(&self) -> Option<SocketAddr> {
         **self.shared.leader.load()
     }
 
-    /// Tells the member which others there may be, and, at the first start of all, who founds
-    /// the cluster.
-    pub fn know(&self, known: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
-        // A full ring: the next call, half a second later, says the same.
-        let _ = self.inputs.try_send(core::Input::Know { known, founders });
+    /// Sets the addresses of possible members and, at the first start, of the cluster's founders.
+    pub fn set_peers(&self, addrs: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
+        // If the queue is full, the next call half a second later passes the same addresses.
+        let _ = self.inputs.try_send(core::Input::Peers { addrs, founders });
     }
 
-    /// Gives the leadership away if this process has it and another can take it; waits for
-    /// that, `timeout` at the most. To be called when the process drains.
-    pub async fn hand_over(&self, timeout: Duration) {
-        let end = time::Instant::now() + timeout;
-        let alone = self.status().await.is_none_or(|one| one.members.len() < 2);
-        while !alone && time::Instant::now() < end {
+    /// Transfers the leadership if this process is the leader and another member exists. Waits
+    /// for that up to `timeout`. To be called when the process drains.
+    pub async fn transfer_leadership(&self, timeout: Duration) {
+        let deadline = time::Instant::now() + timeout;
+        let is_single = self
+            .status()
+            .await
+            .is_none_or(|status| status.members.len() < 2);
+        while !is_single && time::Instant::now() < deadline {
             match self.status().await {
                 Some(status) if status.standing == consensus::Standing::Leader => {}
                 _ => return,
             }
-            let _ = self.inputs.try_send(core::Input::HandOver);
+            let _ = self.inputs.try_send(core::Input::TransferLeadership);
             time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Ends the role's threads and closes the data folder. Blocks until they have ended. A
-    /// process may also just exit: nothing was acknowledged that is not synced.
+    /// Stops the role's threads, waits for them and closes the data folder. A process may also
+    /// exit without it: nothing is acknowledged before it is synced.
     pub fn stop(&self) {
         let _ = self.inputs.send(core::Input::Stop);
         let threads = std::mem::take(&mut *self.threads.lock().expect("threads lock"));
--- a/src/edge/control/core.rs
+++ b/src/edge/control/core.rs
@@ -1,5 +1,5 @@
-//! The threads of the control role: `ctl-core` decides, `ctl-disk` writes and syncs,
-//! `ctl-install` puts committed configurations in force here.
+//! The threads of the control role: `ctl-core` runs the replica, `ctl-disk` writes and syncs the
+//! log, `ctl-install` installs committed configurations in this process.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,59 +27,59 @@
 use crate::log_event;
 use crate::wire::agree;
 
-/// Inputs that may wait for the core thread. A full ring is answered `Unavailable`.
-pub const INPUTS: usize = 16_384;
+/// Capacity of the core thread's input queue. When it is full, callers get `Unavailable`.
+pub const INPUT_QUEUE_LEN: usize = 16_384;
 
-/// Inputs taken before what they led to is carried out.
-const BATCH: usize = 2_048;
+/// Most inputs handled before the resulting messages and writes are sent.
+const MAX_INPUT_BATCH: usize = 2_048;
 
-/// Writes handed to the disk thread and not yet synced. While one is synced the next gathers:
-/// that is the group commit.
-const WRITES: usize = 2;
+/// Writes at the disk thread that are not yet synced. Entries that arrive during a sync gather for
+/// the next write (group commit).
+const MAX_IN_FLIGHT_WRITES: usize = 2;
 
-/// Time between two ticks of the consensus.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between two ticks of the consensus.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pause before a failed write is tried again.
-const RETRY: Duration = Duration::from_millis(500);
+/// Delay before a failed write is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A question about the replica.
+/// Reads from the replica on the core thread.
 type Read = Box<dyn FnOnce(&replica::Replica, Duration) + Send>;
 
-/// What the core thread takes.
+/// Input of the core thread.
 pub enum Input {
-    /// Messages of other members.
+    /// Messages from other members.
     Messages(Vec<message::Envelope>),
-    /// A command.
+    /// A command to propose.
     Propose(agree::Command, oneshot::Sender<agree::Verdict>),
-    /// An operator's order.
+    /// An operator's membership change.
     Order(member::Order, oneshot::Sender<member::Ordered>),
-    /// A question.
+    /// A read of the replica.
     Read(Read),
-    /// Others that there may be, and who founds the cluster.
-    Know {
+    /// Possible members, and the founders of the cluster.
+    Peers {
         /// Link addresses of processes that may be members.
-        known: Vec<SocketAddr>,
-        /// Who founds the cluster, at the first start of all.
+        addrs: Vec<SocketAddr>,
+        /// The founders of the cluster, at the first start.
         founders: Option<Vec<SocketAddr>>,
     },
-    /// Give the leadership away.
-    HandOver,
-    /// End.
+    /// Transfer the leadership.
+    TransferLeadership,
+    /// Stop the thread.
     Stop,
 }
 
-/// What the disk thread tells.
-pub enum Synced {
-    /// All up to this write is synced.
-    Upto(u64),
-    /// Nothing can be written now.
+/// Report of the disk thread.
+pub enum Report {
+    /// All writes up to this sequence number are synced.
+    Synced(u64),
+    /// Writes fail for now and are retried.
     Stalled(String),
-    /// Nothing may be written any more.
+    /// A sync failed. No further write is allowed.
     Failed(String),
 }
 
-/// The core thread.
+/// State of the core thread.
 pub struct Core {
     node: Arc<node::Node>,
     shared: Arc<Shared>,
@@ -87,18 +87,19 @@
     peers: peer::Peers,
     inputs: channel::Receiver<Input>,
     writes: channel::Sender<log::Write>,
-    synced: channel::Receiver<Synced>,
+    reports: channel::Receiver<Report>,
     committed: channel::Sender<()>,
+    /// Writes at the disk thread that are not yet synced.
     in_flight: usize,
-    /// The disk failed for good.
+    /// Whether the disk failed permanently.
     failed: bool,
     next_token: replica::Token,
-    waiting: HashMap<replica::Token, oneshot::Sender<agree::Verdict>>,
-    standing: Option<consensus::Standing>,
-    /// Members last told of: their index, and whether they were committed.
-    members: (u64, bool),
-    ticked: Duration,
-    told: Duration,
+    replies: HashMap<replica::Token, oneshot::Sender<agree::Verdict>>,
+    logged_standing: Option<consensus::Standing>,
+    /// Membership logged last: its index, and whether it was committed.
+    logged_members: (u64, bool),
+    ticked_at: Duration,
+    suspects_published_at: Duration,
     watch: watch::Watch,
 }
 
@@ -111,8 +112,8 @@
         disk: disk::Disk,
         inputs: channel::Receiver<Input>,
     ) -> anyhow::Result<Vec<thread::JoinHandle<()>>> {
-        let (writes, to_write) = channel::bounded(WRITES);
-        let (done, synced) = channel::bounded(WRITES * 4);
+        let (writes, to_write) = channel::bounded(MAX_IN_FLIGHT_WRITES);
+        let (report_to, reports) = channel::bounded(MAX_IN_FLIGHT_WRITES * 4);
         let (committed, to_install) = channel::bounded(1);
         let stop = Arc::new(AtomicBool::new(false));
         let core = Self {
@@ -122,16 +123,16 @@
             peers: peer::Peers::new(node),
             inputs,
             writes,
-            synced,
+            reports,
             committed,
             in_flight: 0,
             failed: false,
             next_token: 0,
-            waiting: HashMap::new(),
-            standing: None,
-            members: (0, false),
-            ticked: Duration::ZERO,
-            told: Duration::ZERO,
+            replies: HashMap::new(),
+            logged_standing: None,
+            logged_members: (0, false),
+            ticked_at: Duration::ZERO,
+            suspects_published_at: Duration::ZERO,
             watch: watch::Watch::new(node.metrics()),
         };
         let installer = (Arc::clone(node), Arc::clone(shared));
@@ -145,57 +146,57 @@
                 })?,
             thread::Builder::new()
                 .name("ctl-disk".to_owned())
-                .spawn(move || write_all(disk, &to_write, &done, &disk_stop))?,
+                .spawn(move || run_disk(disk, &to_write, &report_to, &disk_stop))?,
             thread::Builder::new()
                 .name("ctl-install".to_owned())
-                .spawn(move || install_all(&installer.0, &installer.1, &to_install))?,
+                .spawn(move || run_installer(&installer.0, &installer.1, &to_install))?,
         ])
     }
 
     fn run(mut self) {
-        let ticks = channel::tick(TICK);
-        self.carry_out();
+        let ticks = channel::tick(TICK_INTERVAL);
+        self.dispatch_outputs();
         loop {
             channel::select! {
                 recv(self.inputs) -> input => match input {
                     Ok(input) => {
-                        if !self.take_batch(input) {
+                        if !self.handle_batch(input) {
                             return;
                         }
                     }
                     Err(_) => return,
                 },
-                recv(self.synced) -> synced => match synced {
-                    Ok(synced) => self.take_synced(synced),
+                recv(self.reports) -> report => match report {
+                    Ok(report) => self.handle_report(report),
                     Err(_) => return,
                 },
                 recv(ticks) -> _ => {}
             }
-            while let Ok(synced) = self.synced.try_recv() {
-                self.take_synced(synced);
+            while let Ok(report) = self.reports.try_recv() {
+                self.handle_report(report);
             }
             self.tick();
-            self.carry_out();
+            self.dispatch_outputs();
         }
     }
 
-    /// Takes `input` and more that wait. `false`: the thread ends.
-    fn take_batch(&mut self, input: Input) -> bool {
+    /// Handles `input` and further queued inputs. Returns `false` if the thread must end.
+    fn handle_batch(&mut self, input: Input) -> bool {
         let mut next = Some(input);
-        for _ in 0..BATCH {
+        for _ in 0..MAX_INPUT_BATCH {
             let Some(input) = next else {
                 return true;
             };
-            if !self.take(input) {
+            if !self.handle(input) {
                 return false;
             }
             next = self.inputs.try_recv().ok();
         }
-        // The batch is full; what was taken last is not lost.
-        next.is_none_or(|input| self.take(input))
+        // The batch is full, but the input received last must still be handled.
+        next.is_none_or(|input| self.handle(input))
     }
 
-    fn take(&mut self, input: Input) -> bool {
+    fn handle(&mut self, input: Input) -> bool {
         let now = self.node.now();
         match input {
             Input::Messages(messages) => {
@@ -205,7 +206,7 @@
             }
             Input::Propose(command, reply) => {
                 self.next_token += 1;
-                self.waiting.insert(self.next_token, reply);
+                self.replies.insert(self.next_token, reply);
                 self.replica
                     .propose(now, wall_ms(), self.next_token, command);
             }
@@ -213,32 +214,32 @@
                 let _ = reply.send(self.replica.order(now, &order));
             }
             Input::Read(read) => read(&self.replica, now),
-            Input::Know { known, founders } => self.replica.know(known, founders),
-            Input::HandOver => {
-                self.replica.hand_over(now);
+            Input::Peers { addrs, founders } => self.replica.set_peers(addrs, founders),
+            Input::TransferLeadership => {
+                self.replica.transfer_leadership(now);
             }
             Input::Stop => return false,
         }
         true
     }
 
-    fn take_synced(&mut self, synced: Synced) {
+    fn handle_report(&mut self, report: Report) {
         let now = self.node.now();
-        match synced {
-            Synced::Upto(seq) => {
+        match report {
+            Report::Synced(seq) => {
                 if self.replica.raft().stalled() {
                     log_event!(self.node.log(), Event::ControlDiskBack);
                 }
                 self.in_flight -= 1;
                 self.replica.synced(now, seq);
             }
-            Synced::Stalled(why) => {
+            Report::Stalled(why) => {
                 if !self.replica.raft().stalled() {
                     log_event!(self.node.log(), Event::ControlDiskStalled, "error" => why);
                 }
                 self.replica.stall(now);
             }
-            Synced::Failed(why) => {
+            Report::Failed(why) => {
                 log_event!(self.node.log(), Event::ControlDiskFailed, "error" => why);
                 self.failed = true;
                 self.replica.stall(now);
@@ -248,55 +249,55 @@
 
     fn tick(&mut self) {
         let now = self.node.now();
-        if now < self.ticked + TICK {
+        if now < self.ticked_at + TICK_INTERVAL {
             return;
         }
-        self.ticked = now;
+        self.ticked_at = now;
         self.replica.tick(now);
-        if now >= self.told + Duration::from_secs(1) {
-            self.tell_suspects(now);
-            self.watch.look(now, &self.replica, self.node.log());
+        if now >= self.suspects_published_at + Duration::from_secs(1) {
+            self.publish_suspects(now);
+            self.watch.update(now, &self.replica, self.node.log());
         }
     }
 
-    fn tell_suspects(&mut self, now: Duration) {
-        self.told = now;
+    fn publish_suspects(&mut self, now: Duration) {
+        self.suspects_published_at = now;
         let clock_ms = self.replica.raft().clock_ms(now);
         let suspects = self.replica.state().suspects(clock_ms);
         self.shared.suspects.store(Arc::new(suspects));
     }
 
-    /// Carries out what the replica decided.
-    fn carry_out(&mut self) {
+    /// Passes on the writes, messages and outputs that the replica produced.
+    fn dispatch_outputs(&mut self) {
         let now = self.node.now();
         self.replica.flush(now);
-        if self.in_flight < WRITES
+        if self.in_flight < MAX_IN_FLIGHT_WRITES
             && !self.failed
             && let Some(write) = self.replica.take_write()
         {
             self.in_flight += 1;
-            // Cannot block: the ring has room for all in flight.
+            // Cannot block: the channel has capacity for all writes in flight.
             let _ = self.writes.send(write);
         }
         for message in self.replica.take_messages() {
             self.peers.send(message);
         }
         let outputs = self.replica.take_outputs();
-        // Before the verdict that lets others ask for them.
-        if outputs.contains(&replica::Output::Suspected) {
-            self.tell_suspects(now);
+        // Publish suspects before the verdict: its receiver may ask for them at once.
+        if outputs.contains(&replica::Output::SuspectsChanged) {
+            self.publish_suspects(now);
         }
         for output in outputs {
-            self.tell(output);
+            self.handle_output(output);
         }
-        self.tell_members();
-        self.tell_standing();
+        self.log_members();
+        self.publish_standing();
     }
 
-    fn tell(&mut self, output: replica::Output) {
+    fn handle_output(&mut self, output: replica::Output) {
         match output {
             replica::Output::Verdict(token, verdict) => {
-                if let Some(reply) = self.waiting.remove(&token) {
+                if let Some(reply) = self.replies.remove(&token) {
                     let _ = reply.send(verdict);
                 }
             }
@@ -305,43 +306,44 @@
                     self.node.documents().install(document.clone());
                 }
             }
-            // Told before all else.
-            replica::Output::Suspected => {}
+            // Already published in `dispatch_outputs`.
+            replica::Output::SuspectsChanged => {}
             replica::Output::Committed(revision) => {
                 let Some(files) = self.replica.state().conf().files(revision) else {
                     return;
                 };
-                *self.shared.newest.lock().expect("newest lock") = Some((revision, files));
-                // A full ring: the thread will find the newest anyway.
+                *self.shared.pending_conf.lock().expect("pending conf lock") =
+                    Some((revision, files));
+                // If the channel is full, the thread is already due to read the newest one.
                 let _ = self.committed.try_send(());
             }
         }
     }
 
-    /// Told before the standing that rests on it.
-    fn tell_members(&mut self) {
+    /// Logged before the role that follows from the membership.
+    fn log_members(&mut self) {
         let raft = self.replica.raft();
         let index = raft.membership_index();
         let members = (index, index <= raft.commit());
-        if self.members == members || index == 0 {
+        if self.logged_members == members || index == 0 {
             return;
         }
-        self.members = members;
+        self.logged_members = members;
         let known = raft.membership();
         log_event!(self.node.log(), Event::ControlMembers, "index" => index,
             "committed" => members.1, "term" => raft.term(), "commit" => raft.commit(),
             "voters" => describe(&known.voters), "learners" => describe(&known.learners));
     }
 
-    fn tell_standing(&mut self) {
+    fn publish_standing(&mut self) {
         let raft = self.replica.raft();
-        let leader = raft.leader().map(|one| one.addr);
+        let leader = raft.leader().map(|leader| leader.addr);
         if **self.shared.leader.load() != leader {
             self.shared.leader.store(Arc::new(leader));
         }
         let standing = raft.standing();
-        if self.standing != Some(standing) {
-            self.standing = Some(standing);
+        if self.logged_standing != Some(standing) {
+            self.logged_standing = Some(standing);
             let term = raft.term();
             log_event!(self.node.log(), Event::ControlStanding,
                 "standing" => format!("{standing:?}"), "term" => term,
@@ -353,7 +355,7 @@
 fn describe(members: &[member::Member]) -> String {
     let members = members.iter();
     let texts: Vec<String> = members
-        .map(|one| format!("{}/{}", one.addr, one.life.0))
+        .map(|member| format!("{}/{}", member.addr, member.life.0))
         .collect();
     texts.join(" ")
 }
@@ -363,11 +365,11 @@
     since.unwrap_or_default().as_millis() as u64
 }
 
-/// The disk thread: writes all that waits, syncs once, tells.
-fn write_all(
+/// The disk thread: writes all queued writes, syncs once and reports.
+fn run_disk(
     mut disk: disk::Disk,
     writes: &channel::Receiver<log::Write>,
-    done: &channel::Sender<Synced>,
+    reports: &channel::Sender<Report>,
     stop: &AtomicBool,
 ) {
     while let Ok(first) = writes.recv() {
@@ -380,12 +382,13 @@
             };
             match failure {
                 disk::Failure::Retry(err) => {
-                    let _ = done.try_send(Synced::Stalled(err.to_string()));
-                    thread::sleep(RETRY);
+                    let _ = reports.try_send(Report::Stalled(err.to_string()));
+                    thread::sleep(WRITE_RETRY_DELAY);
                 }
                 disk::Failure::Final(err) => {
-                    let _ = done.send(Synced::Failed(err.to_string()));
-                    // Stays until the core thread ends, which shows what happened.
+                    let _ = reports.send(Report::Failed(err.to_string()));
+                    // Discard further writes instead of returning: the core thread would end with this
+                    // one, and its status shows the failure.
                     writes.iter().for_each(drop);
                     return;
                 }
@@ -395,18 +398,22 @@
             }
         }
         for write in batch {
-            if done.send(Synced::Upto(write.seq)).is_err() {
+            if reports.send(Report::Synced(write.seq)).is_err() {
                 return;
             }
         }
     }
 }
 
-/// The install thread: puts the newest committed configuration in force in this process.
-fn install_all(node: &Arc<node::Node>, shared: &Shared, committed: &channel::Receiver<()>) {
+/// The install thread: installs the newest committed configuration in this process.
+fn run_installer(node: &Arc<node::Node>, shared: &Shared, committed: &channel::Receiver<()>) {
     while committed.recv().is_ok() {
-        let newest = shared.newest.lock().expect("newest lock").take();
-        let Some((revision, files)) = newest else {
+        let pending = shared
+            .pending_conf
+            .lock()
+            .expect("pending conf lock")
+            .take();
+        let Some((revision, files)) = pending else {
             continue;
         };
         match node.conf_store().install(revision, &files) {
--- a/src/edge/control/disk.rs
+++ b/src/edge/control/disk.rs
@@ -1,8 +1,8 @@
 //! The data folder of the control role.
 //!
-//! It holds one log file, `log-<generation>`: whose it is, a snapshot, and what came after it. A
-//! new snapshot begins the next generation in a file of its own, which takes the place of the
-//! old one only when it is synced, so the folder never holds more than two.
+//! It holds one log file, `log-<generation>`: the identity of its owner, a snapshot, and the
+//! records since. A new snapshot starts the next generation in a file of its own. The old file is
+//! removed only after the new one is synced, so the folder never holds more than two.
 
 use std::fmt;
 use std::fs;
@@ -19,16 +19,16 @@
 
 const LOG_PREFIX: &str = "log-";
 const LOCK_NAME: &str = "lock";
-const NEW_NAME: &str = "new";
+const TEMP_NAME: &str = "new";
 
 /// Why a data folder cannot be used.
 #[derive(Debug)]
 pub enum Error {
-    /// A call of the system failed.
+    /// A system call failed.
     Io(PathBuf, io::Error),
-    /// Another process uses it.
+    /// Another process has locked it.
     Locked(PathBuf),
-    /// A log file has rotted.
+    /// A log file is corrupt.
     Corrupt(PathBuf, record::Corrupt),
 }
 
@@ -52,9 +52,9 @@
 /// Why a write failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing of it counts; it may be tried again.
+    /// Nothing was written, and the write may be retried.
     Retry(io::Error),
-    /// What the disk holds is not known any more. Nothing may be written again.
+    /// The contents of the disk are unknown. No further write is allowed.
     Final(io::Error),
 }
 
@@ -65,9 +65,9 @@
     me: member::Member,
     generation: u64,
     file: fs::File,
-    /// Bytes of the file that are synced.
+    /// Synced length of the file in bytes.
     len: u64,
-    /// Held as long as the folder is in use.
+    /// Locked while the folder is in use.
     _lock: fs::File,
 }
 
@@ -76,19 +76,21 @@
 pub struct Opened {
     /// The folder.
     pub disk: Disk,
-    /// Whose it is.
+    /// The member that owns the folder.
     pub me: member::Member,
-    /// What it held.
+    /// The contents of its log.
     pub saved: log::Saved,
-    /// Whether it was empty or foreign, so that this is a new life.
+    /// Whether the folder was empty or belonged to another process, so that `me` is a new
+    /// incarnation.
     pub is_new: bool,
-    /// Torn bytes that were cut off.
+    /// Bytes of an incomplete last record that were truncated.
     pub torn: u64,
 }
 
 impl Disk {
-    /// Opens the folder at `path` for the process at `addr`. `life` is used if it is empty or
-    /// belongs to another process, whose files are then set aside.
+    /// Opens the folder at `path` for the process at `addr`. If it is empty or belongs to another
+    /// process, starts a new log with the incarnation `life`. Another process's files are moved
+    /// to a subfolder.
     pub fn open(path: &Path, addr: SocketAddr, life: id::Incarnation) -> Result<Opened, Error> {
         let io = |err| Error::Io(path.to_owned(), err);
         fs::create_dir_all(path).map_err(io)?;
@@ -96,7 +98,7 @@
         if lock.try_lock().is_err() {
             return Err(Error::Locked(path.to_owned()));
         }
-        if let Some(generation) = newest(path).map_err(io)? {
+        if let Some(generation) = newest_generation(path).map_err(io)? {
             let name = file_path(path, generation);
             let bytes = fs::read(&name).map_err(io)?;
             let corrupt = |err| Error::Corrupt(name.clone(), err);
@@ -120,7 +122,7 @@
         }
         let me = member::Member { addr, life };
         Ok(Opened {
-            disk: Self::begin(path, me, lock).map_err(io)?,
+            disk: Self::create(path, me, lock).map_err(io)?,
             me,
             saved: log::Saved::default(),
             is_new: true,
@@ -128,12 +130,12 @@
         })
     }
 
-    fn begin(path: &Path, me: member::Member, lock: fs::File) -> io::Result<Self> {
+    fn create(path: &Path, me: member::Member, lock: fs::File) -> io::Result<Self> {
         let mut buf = Vec::new();
         record::put_identity(&mut buf, &me);
-        let file = replace(path, 1, &buf)?;
+        let file = write_generation(path, 1, &buf)?;
         if let Some(parent) = path.parent() {
-            // Relative paths have an empty parent.
+            // The parent of a relative path may be empty.
             let parent = if parent.as_os_str().is_empty() {
                 Path::new(".")
             } else {
@@ -170,25 +172,25 @@
             len,
             _lock: lock,
         };
-        disk.drop_older()?;
+        disk.remove_older()?;
         Ok(disk)
     }
 
-    /// Bytes of the log file.
+    /// Synced length of the log file in bytes.
     pub fn len(&self) -> u64 {
         self.len
     }
 
-    /// Whether nothing was written yet.
+    /// Whether the log file is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Writes and syncs `writes`, all or nothing.
+    /// Writes and syncs `writes` atomically.
     pub fn write(&mut self, writes: &[log::Write]) -> Result<(), Failure> {
-        let restart = writes.iter().rposition(|one| one.snapshot.is_some());
-        match restart {
-            Some(at) => self.restart(&writes[at..]),
+        let last_snapshot = writes.iter().rposition(|write| write.snapshot.is_some());
+        match last_snapshot {
+            Some(at) => self.start_generation(&writes[at..]),
             None => self.append(writes),
         }
     }
@@ -198,31 +200,31 @@
         for write in writes {
             record::put_write(&mut buf, write);
         }
-        // What an earlier try left behind goes first.
+        // Truncate what an earlier failed attempt left behind.
         self.file.set_len(self.len).map_err(Failure::Retry)?;
         self.file.write_all(&buf).map_err(Failure::Retry)?;
-        // After a failed sync the system may forget what it could not write: a second try
-        // would succeed without the data.
+        // After a failed sync the system may drop the unwritten pages: a second sync would then
+        // succeed without the data.
         self.file.sync_data().map_err(Failure::Final)?;
         self.len += buf.len() as u64;
         Ok(())
     }
 
-    /// Begins the next generation.
-    fn restart(&mut self, writes: &[log::Write]) -> Result<(), Failure> {
+    /// Starts the next generation with `writes`, the first of which holds a snapshot.
+    fn start_generation(&mut self, writes: &[log::Write]) -> Result<(), Failure> {
         let mut buf = Vec::new();
         record::put_identity(&mut buf, &self.me);
         for write in writes {
             record::put_write(&mut buf, write);
         }
         let next = self.generation + 1;
-        self.file = replace(&self.path, next, &buf).map_err(Failure::Retry)?;
+        self.file = write_generation(&self.path, next, &buf).map_err(Failure::Retry)?;
         self.generation = next;
         self.len = buf.len() as u64;
-        self.drop_older().map_err(Failure::Retry)
+        self.remove_older().map_err(Failure::Retry)
     }
 
-    fn drop_older(&mut self) -> io::Result<()> {
+    fn remove_older(&mut self) -> io::Result<()> {
         for generation in generations(&self.path)? {
             if generation < self.generation {
                 fs::remove_file(file_path(&self.path, generation))?;
@@ -232,19 +234,19 @@
     }
 }
 
-/// Makes the file of a generation appear as a whole.
-fn replace(path: &Path, generation: u64, bytes: &[u8]) -> io::Result<fs::File> {
-    let new = path.join(NEW_NAME);
-    let mut file = fs::File::create(&new)?;
+/// Creates the file of a generation atomically.
+fn write_generation(path: &Path, generation: u64, bytes: &[u8]) -> io::Result<fs::File> {
+    let temp = path.join(TEMP_NAME);
+    let mut file = fs::File::create(&temp)?;
     file.write_all(bytes)?;
     file.sync_all()?;
     let name = file_path(path, generation);
-    fs::rename(new, &name)?;
+    fs::rename(temp, &name)?;
     fs::File::open(path)?.sync_all()?;
     fs::OpenOptions::new().append(true).open(name)
 }
 
-/// Moves another process's files into a folder of their own.
+/// Moves another process's log files into a subfolder.
 fn set_aside(path: &Path, owner: member::Member) -> io::Result<()> {
     let aside = path.join(format!("foreign-{}", owner.life.0));
     fs::create_dir_all(&aside)?;
@@ -260,7 +262,7 @@
     path.join(format!("{LOG_PREFIX}{generation:016x}"))
 }
 
-fn newest(path: &Path) -> io::Result<Option<u64>> {
+fn newest_generation(path: &Path) -> io::Result<Option<u64>> {
     Ok(generations(path)?.into_iter().max())
 }
 
@@ -268,7 +270,7 @@
     let mut out = Vec::new();
     for item in fs::read_dir(path)? {
         let name = item?.file_name();
-        let digits = name.to_str().and_then(|one| one.strip_prefix(LOG_PREFIX));
+        let digits = name.to_str().and_then(|name| name.strip_prefix(LOG_PREFIX));
         if let Some(digits) = digits
             && let Ok(generation) = u64::from_str_radix(digits, 16)
         {
--- a/src/edge/control/peer.rs
+++ b/src/edge/control/peer.rs
@@ -1,4 +1,4 @@
-//! Links from one control process to the others: a task and a bounded queue for each.
+//! Sends consensus messages to other control processes: one task and bounded queue for each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,16 +12,17 @@
 use crate::edge::node;
 use crate::wire::rpc;
 
-/// Messages that wait for one link. What is over is dropped, as a network may.
-const QUEUE: usize = 512;
+/// Capacity of the queue to one process, in messages. Messages above it are dropped: the consensus
+/// tolerates message loss.
+const QUEUE_MESSAGES: usize = 512;
 
-/// Bytes of messages in one question, if it holds more than one message.
-const MAX_BYTES: usize = 4 << 20;
+/// Most bytes of messages in one request, unless a single message is larger.
+const MAX_BATCH_BYTES: usize = 4 << 20;
 
-/// Time for one question.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of one request.
+const SEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The links to other control processes.
+/// The send queues to other control processes.
 pub struct Peers {
     node: Arc<node::Node>,
     runtime: runtime::Handle,
@@ -29,7 +30,7 @@
 }
 
 impl Peers {
-    /// No links yet. To be called within a runtime.
+    /// Starts without any queue. Must be called within a Tokio runtime.
     pub fn new(node: &Arc<node::Node>) -> Self {
         Self {
             node: Arc::clone(node),
@@ -38,11 +39,11 @@
         }
     }
 
-    /// Sends a message, or drops it.
+    /// Queues a message, or drops it if the queue is full.
     pub fn send(&mut self, message: message::Envelope) {
         let addr = message.to.addr;
         let queue = self.queues.entry(addr).or_insert_with(|| {
-            let (queue, messages) = mpsc::channel(QUEUE);
+            let (queue, messages) = mpsc::channel(QUEUE_MESSAGES);
             let node = Arc::clone(&self.node);
             self.runtime.spawn(deliver(node, addr, messages));
             queue
@@ -59,15 +60,15 @@
     while let Some(first) = messages.recv().await {
         let mut bytes = first.weight();
         let mut batch = vec![first];
-        while bytes < MAX_BYTES
+        while bytes < MAX_BATCH_BYTES
             && let Ok(next) = messages.try_recv()
         {
             bytes += next.weight();
             batch.push(next);
         }
         let packet = message::Packet::Batch(batch).encode();
-        let ask = rpc::Ask::Consensus(packet);
-        // A lost question is a lost message: the consensus sends again what matters.
-        let _ = node.link(addr).ask(&ask, TIMEOUT).await;
+        let request = rpc::Ask::Consensus(packet);
+        // Failures are ignored: the consensus resends lost messages where needed.
+        let _ = node.link(addr).ask(&request, SEND_TIMEOUT).await;
     }
 }
--- a/src/edge/control/presence.rs
+++ b/src/edge/control/presence.rs
@@ -1,4 +1,5 @@
-//! Who said hello to this control process or to another, as leases of a few seconds.
+//! Presence: which processes recently sent a `Hello` to this or another control process. Each
+//! `Hello` is a lease of a few seconds.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -6,16 +7,16 @@
 
 use crate::wire::member;
 
-/// How long a hello holds.
-pub const LEASE: Duration = Duration::from_secs(4);
+/// How long a process counts as present after a `Hello`.
+pub const LEASE_DURATION: Duration = Duration::from_secs(4);
 
-/// Most processes remembered.
+/// Most processes kept.
 const MAX_PEERS: usize = 32_768;
 
-/// Time between two searches for leases that ended.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval between two removals of expired leases.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The processes present.
+/// The presence leases by process name.
 #[derive(Default)]
 pub struct Presence {
     inner: Mutex<Inner>,
@@ -24,67 +25,68 @@
 #[derive(Default)]
 struct Inner {
     peers: HashMap<String, Lease>,
-    swept: Duration,
+    swept_at: Duration,
 }
 
 struct Lease {
     peer: member::Peer,
-    until: Duration,
-    /// Whether the peer said hello here. Only such leases are told to other control processes:
-    /// passed on from one to the next, the lease of a process that has gone would never end.
+    expires_at: Duration,
+    /// Whether the peer sent its `Hello` to this process. Only such leases are sent to other
+    /// control processes: if reported leases were forwarded, that of a process that has gone would
+    /// be renewed forever.
     direct: bool,
 }
 
 impl Presence {
-    /// Takes a hello. One of an older life than the one known changes nothing.
+    /// Records a `Hello`. One from an older incarnation than the known one is ignored.
     pub fn hello(&self, now: Duration, peer: member::Peer) {
-        self.take(now, peer, true);
+        self.insert(now, peer, true);
     }
 
-    /// Takes the word of another control process on who said hello there.
-    pub fn told(&self, now: Duration, peers: Vec<member::Peer>) {
+    /// Merges the leases that another control process reports.
+    pub fn merge(&self, now: Duration, peers: Vec<member::Peer>) {
         for peer in peers {
-            self.take(now, peer, false);
+            self.insert(now, peer, false);
         }
     }
 
-    fn take(&self, now: Duration, peer: member::Peer, direct: bool) {
+    fn insert(&self, now: Duration, peer: member::Peer, direct: bool) {
         let mut inner = self.inner.lock().expect("presence lock");
-        if now >= inner.swept + SWEEP {
-            inner.swept = now;
-            inner.peers.retain(|_, lease| lease.until > now);
+        if now >= inner.swept_at + SWEEP_INTERVAL {
+            inner.swept_at = now;
+            inner.peers.retain(|_, lease| lease.expires_at > now);
         }
         let known = inner.peers.get(&peer.name);
         let is_old = known.is_some_and(|known| {
-            let same = known.peer.incarnation == peer.incarnation;
-            let newer = known.peer.incarnation > peer.incarnation;
-            known.until > now && (newer || (same && known.direct && !direct))
+            let is_same = known.peer.incarnation == peer.incarnation;
+            let known_is_newer = known.peer.incarnation > peer.incarnation;
+            known.expires_at > now && (known_is_newer || (is_same && known.direct && !direct))
         });
         if is_old || (known.is_none() && inner.peers.len() >= MAX_PEERS) {
             return;
         }
         let lease = Lease {
-            until: now + LEASE,
+            expires_at: now + LEASE_DURATION,
             direct,
             peer,
         };
         inner.peers.insert(lease.peer.name.clone(), lease);
     }
 
-    /// Those that said hello here lately, by name.
+    /// Processes with a valid lease that sent their `Hello` to this process, sorted by name.
     pub fn direct(&self, now: Duration) -> Vec<member::Peer> {
-        self.pick(now, |lease| lease.direct)
+        self.select(now, |lease| lease.direct)
     }
 
-    /// Those present that `wanted` picks, by name.
+    /// Processes with a valid lease that `wanted` accepts, sorted by name.
     pub fn list(&self, now: Duration, wanted: impl Fn(&member::Peer) -> bool) -> Vec<member::Peer> {
-        self.pick(now, |lease| wanted(&lease.peer))
+        self.select(now, |lease| wanted(&lease.peer))
     }
 
-    fn pick(&self, now: Duration, wanted: impl Fn(&Lease) -> bool) -> Vec<member::Peer> {
+    fn select(&self, now: Duration, wanted: impl Fn(&Lease) -> bool) -> Vec<member::Peer> {
         let inner = self.inner.lock().expect("presence lock");
-        let present = inner.peers.values().filter(|lease| lease.until > now);
-        let wanted = present.filter(|lease| wanted(lease));
+        let live = inner.peers.values().filter(|lease| lease.expires_at > now);
+        let wanted = live.filter(|lease| wanted(lease));
         let mut peers: Vec<member::Peer> = wanted.map(|lease| lease.peer.clone()).collect();
         peers.sort_by(|a, b| a.name.cmp(&b.name));
         peers
--- a/src/edge/control/share.rs
+++ b/src/edge/control/share.rs
@@ -1,5 +1,6 @@
-//! Tells the other control processes who said hello here, so that whoever asks any of them learns
-//! of all: entries that know each other by different control processes would otherwise never meet.
+//! Sends the presence leases of this control process to the others, so that each of them can answer
+//! with all processes. Otherwise entries that use different control processes would never discover
+//! each other.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,43 +13,44 @@
 use super::Control;
 use crate::wire::rpc;
 
-/// Time between two rounds. Two may be lost before a lease of [`super::presence::LEASE`] ends.
-const PERIOD: Duration = Duration::from_millis(1_000);
+/// Interval between two rounds. Two may be lost before a lease expires, see
+/// [`super::presence::LEASE_DURATION`].
+const ROUND_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for one process to take it. Below the period, so that rounds do not pile up.
-const TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of one request. Shorter than the interval, so that rounds do not overlap.
+const SEND_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Tells the others each period until the role ends.
+/// Sends the leases each interval until the role ends.
 pub async fn run(control: Weak<Control>) {
     loop {
-        time::sleep(PERIOD).await;
+        time::sleep(ROUND_INTERVAL).await;
         let Some(control) = control.upgrade() else {
             return;
         };
-        round(&control).await;
+        send_round(&control).await;
     }
 }
 
-/// With nobody present nobody asks for a view, and nothing is sent.
-async fn round(control: &Arc<Control>) {
+/// Sends one round. Nothing is sent if no process is present, as none then asks for a view.
+async fn send_round(control: &Arc<Control>) {
     let now = control.node.now();
     if control.presence.list(now, |_| true).is_empty() {
         return;
     }
     let mut peers = control.presence.direct(now);
-    peers.push(control.me());
-    let mut asks = task::JoinSet::new();
-    for addr in others(control).await {
+    peers.push(control.own_peer());
+    let mut requests = task::JoinSet::new();
+    for addr in other_controls(control).await {
         let link = control.node.link(addr);
-        let ask = rpc::Ask::Present(peers.clone());
-        // One that is away learns it when it is back: the next round says all again.
-        asks.spawn(async move { link.ask(&ask, TIMEOUT).await.is_ok() });
+        let request = rpc::Ask::Present(peers.clone());
+        // Failures are ignored: the next round sends all leases again.
+        requests.spawn(async move { link.ask(&request, SEND_TIMEOUT).await.is_ok() });
     }
-    asks.join_all().await;
+    requests.join_all().await;
 }
 
-/// Members and seeds, without this process.
-async fn others(control: &Arc<Control>) -> Vec<SocketAddr> {
+/// Addresses of members and seeds, except this process.
+async fn other_controls(control: &Arc<Control>) -> Vec<SocketAddr> {
     let mut addrs = control.node.seeds();
     if let Some(status) = control.status().await {
         addrs.extend(status.members.iter().map(|member| member.addr));
--- a/src/edge/control/watch.rs
+++ b/src/edge/control/watch.rs
@@ -1,5 +1,5 @@
-//! Tells operators whether commits go on: gauges on the metrics address, and events when
-//! nothing is committed or somebody waits to be admitted.
+//! Monitors the progress of the consensus: metrics gauges, and log events when entries wait for a
+//! commit or a process waits to be admitted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 use crate::edge::metric;
 use crate::log_event;
 
-/// Wait for a commit, or to be admitted, that is told of. A commit takes milliseconds and an
-/// election up to 1.6 s (`consensus::Timing`), so what an election mends is hardly told.
-const LONG: Duration = Duration::from_secs(1);
+/// Shortest wait for a commit or an admission that is logged. A commit takes milliseconds and an
+/// election up to 1.6 s (`consensus::Timing`), so a wait that an election ends is rarely logged.
+const LONG_WAIT: Duration = Duration::from_secs(1);
 
-/// Time between two lines on one matter.
-const REPEAT: Duration = Duration::from_secs(5);
+/// Interval between two log lines about the same wait.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Of {
+struct Label {
     member: String,
 }
 
 type Gauge = gauge::Gauge<u64, AtomicU64>;
-type Gauges = family::Family<Of, Gauge>;
+type Gauges = family::Family<Label, Gauge>;
 
-/// The gauges of the control role. Labels are members and callers, of which there are few.
+/// The gauges of the control role. Label values are members and callers, so there are few.
 #[derive(Clone, Default)]
 struct Metrics {
     leads: Gauge,
@@ -49,13 +49,13 @@
     caller_waits_ms: Gauges,
 }
 
-/// What was told, and when.
+/// The gauges, and the waits that were logged.
 pub struct Watch {
     gauges: Metrics,
-    /// When the wait for a commit was told last, if it has not ended.
-    waits_told: Option<Duration>,
-    /// Callers that were told of, and when.
-    callers_told: BTreeMap<(SocketAddr, u64), Duration>,
+    /// When the current wait for a commit was last logged, if it was.
+    wait_logged_at: Option<Duration>,
+    /// Waiting callers that were logged, by address and incarnation, and when.
+    callers_logged_at: BTreeMap<(SocketAddr, u64), Duration>,
 }
 
 impl Watch {
@@ -96,20 +96,20 @@
         });
         Self {
             gauges,
-            waits_told: None,
-            callers_told: BTreeMap::new(),
+            wait_logged_at: None,
+            callers_logged_at: BTreeMap::new(),
         }
     }
 
-    /// Takes a look at the member. To be called about once a second.
-    pub fn look(&mut self, now: Duration, replica: &replica::Replica, log: &slog::Logger) {
+    /// Updates the gauges and logs long waits. To be called about once a second.
+    pub fn update(&mut self, now: Duration, replica: &replica::Replica, log: &slog::Logger) {
         let raft = replica.raft();
         let followers = raft.followers(now);
         let callers = raft.callers(now);
         self.set_own(now, raft);
         self.set_others(&followers, &callers);
-        self.tell_waits(now, raft, &followers, log);
-        self.tell_callers(now, &callers, log);
+        self.log_wait(now, raft, &followers, log);
+        self.log_callers(now, &callers, log);
     }
 
     fn set_own(&self, now: Duration, raft: &consensus::Raft) {
@@ -125,7 +125,7 @@
 
     fn set_others(&self, followers: &[watch::Follower], callers: &[watch::Caller]) {
         let gauges = &self.gauges;
-        // Members that left, or a member that no longer leads, show nothing.
+        // Clear first: members may have left, and only the leader sets values.
         let families = [
             &gauges.matched,
             &gauges.next,
@@ -135,21 +135,24 @@
             &gauges.caller_waits_ms,
         ];
         families.into_iter().for_each(family::Family::clear);
-        for one in followers {
-            let of = of(one.addr);
-            gauges.matched.get_or_create(&of).set(one.matched);
-            gauges.next.get_or_create(&of).set(one.next);
-            gauges.refused.get_or_create(&of).set(one.refused);
-            gauges.ignored.get_or_create(&of).set(one.ignored);
-            gauges.silent_ms.get_or_create(&of).set(one.silent_ms);
+        for follower in followers {
+            let label = label(follower.addr);
+            gauges.matched.get_or_create(&label).set(follower.matched);
+            gauges.next.get_or_create(&label).set(follower.next);
+            gauges.refused.get_or_create(&label).set(follower.refused);
+            gauges.ignored.get_or_create(&label).set(follower.ignored);
+            gauges
+                .silent_ms
+                .get_or_create(&label)
+                .set(follower.silent_ms);
         }
-        for one in callers {
-            let waits = gauges.caller_waits_ms.get_or_create(&of(one.addr));
-            waits.set(one.waits_ms);
+        for caller in callers {
+            let waits = gauges.caller_waits_ms.get_or_create(&label(caller.addr));
+            waits.set(caller.waits_ms);
         }
     }
 
-    fn tell_waits(
+    fn log_wait(
         &mut self,
         now: Duration,
         raft: &consensus::Raft,
@@ -157,17 +160,20 @@
         log: &slog::Logger,
     ) {
         let waits = raft.waits(now);
-        if waits < LONG {
-            if self.waits_told.take().is_some() {
+        if waits < LONG_WAIT {
+            if self.wait_logged_at.take().is_some() {
                 log_event!(log, Event::ControlCommits, "commit" => raft.commit(),
                     "term" => raft.term());
             }
             return;
         }
-        if self.waits_told.is_some_and(|at| now < at + REPEAT) {
+        if self
+            .wait_logged_at
+            .is_some_and(|at| now < at + REPEAT_INTERVAL)
+        {
             return;
         }
-        self.waits_told = Some(now);
+        self.wait_logged_at = Some(now);
         let followers: Vec<String> = followers.iter().map(describe).collect();
         log_event!(log, Event::ControlWaits, "waits_ms" => waits.as_millis() as u64,
             "term" => raft.term(), "commit" => raft.commit(),
@@ -175,18 +181,19 @@
             "followers" => followers.join("; "));
     }
 
-    fn tell_callers(&mut self, now: Duration, callers: &[watch::Caller], log: &slog::Logger) {
-        let waits = |key: &(SocketAddr, u64)| callers.iter().any(|one| *key == key_of(one));
-        self.callers_told.retain(|key, _| waits(key));
-        for one in callers {
-            let told = self.callers_told.get(&key_of(one));
-            let is_due = told.is_none_or(|at| now >= *at + REPEAT);
-            if one.waits_ms < LONG.as_millis() as u64 || !is_due {
+    fn log_callers(&mut self, now: Duration, callers: &[watch::Caller], log: &slog::Logger) {
+        let is_waiting =
+            |key: &(SocketAddr, u64)| callers.iter().any(|caller| *key == key_of(caller));
+        self.callers_logged_at.retain(|key, _| is_waiting(key));
+        for caller in callers {
+            let logged_at = self.callers_logged_at.get(&key_of(caller));
+            let is_due = logged_at.is_none_or(|at| now >= *at + REPEAT_INTERVAL);
+            if caller.waits_ms < LONG_WAIT.as_millis() as u64 || !is_due {
                 continue;
             }
-            self.callers_told.insert(key_of(one), now);
-            log_event!(log, Event::ControlCaller, "member" => one.addr, "life" => one.life,
-                "waits_ms" => one.waits_ms);
+            self.callers_logged_at.insert(key_of(caller), now);
+            log_event!(log, Event::ControlCaller, "member" => caller.addr, "life" => caller.life,
+                "waits_ms" => caller.waits_ms);
         }
     }
 }
@@ -195,16 +202,23 @@
     (caller.addr, caller.life)
 }
 
-fn of(addr: SocketAddr) -> Of {
-    Of {
+fn label(addr: SocketAddr) -> Label {
+    Label {
         member: addr.to_string(),
     }
 }
 
-fn describe(one: &watch::Follower) -> String {
-    let may_agree = one.may_agree.map_or("none".to_owned(), |at| at.to_string());
+fn describe(follower: &watch::Follower) -> String {
+    let may_agree = follower
+        .may_agree
+        .map_or("none".to_owned(), |at| at.to_string());
     format!(
         "{} matched={} next={} refused={} ignored={} may_agree={may_agree} silent_ms={}",
-        one.addr, one.matched, one.next, one.refused, one.ignored, one.silent_ms
+        follower.addr,
+        follower.matched,
+        follower.next,
+        follower.refused,
+        follower.ignored,
+        follower.silent_ms
     )
 }
--- a/src/edge/direct/electorate.rs
+++ b/src/edge/direct/electorate.rs
@@ -19,7 +19,7 @@
         let voters = self.roster().voters();
         if let Some(control) = node.control() {
             let known = voters.iter().map(|one| one.link).collect();
-            control.know(known, self.founders(now, &voters));
+            control.set_peers(known, self.founders(now, &voters));
         }
         let peers = voters.into_iter().map(|one| member::Peer {
             role: member::Role::Control,
--- a/src/edge/direct/stop.rs
+++ b/src/edge/direct/stop.rs
@@ -92,7 +92,7 @@
     node.drain();
     listeners.leave();
     if let Some(control) = node.control().cloned() {
-        tokio::spawn(async move { control.hand_over(HAND_OVER).await });
+        tokio::spawn(async move { control.transfer_leadership(HAND_OVER).await });
     }
     let drained = async {
         time::sleep(NOTICE).await;
--- a/src/edge/http/admin.rs
+++ b/src/edge/http/admin.rs
@@ -81,10 +81,7 @@
         draining: node.draining(),
         in_progress: node.in_progress(),
         view: &node.view(),
-        present: node
-            .control()
-            .map(|role| role.present())
-            .unwrap_or_default(),
+        present: node.control().map(|role| role.live()).unwrap_or_default(),
         control: standing,
     };
     json(&status)
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Control processes in one test process, over real links on loopback and real folders.
+//! Control processes within one test process, with real links on loopback and real data folders.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,12 +13,12 @@
 use wigeonbarrow::wire::agree;
 use wigeonbarrow::wire::id;
 
-pub const WAIT: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Process {
     pub node: Arc<node::Node>,
     pub control: Arc<control::Control>,
-    /// Its own: when it ends, so do all its links, as with a process.
+    /// A runtime of its own: when it shuts down, its links close, as when a process exits.
     runtime: tokio::runtime::Runtime,
 }
 
@@ -29,8 +29,8 @@
             .enable_all()
             .build()
             .expect("a runtime");
-        let listening = runtime.spawn(bind(addr));
-        let listener = listening.await.expect("a listener");
+        let bound = runtime.spawn(bind(addr));
+        let listener = bound.await.expect("a listener");
         let settings = node::Settings {
             name: format!("control-{addr}"),
             zone: "bne-hall-a".to_owned(),
@@ -48,7 +48,7 @@
             compact_bytes: wigeonbarrow::control::replica::COMPACT_BYTES,
         };
         let control = {
-            let _within = runtime.enter();
+            let _guard = runtime.enter();
             control::Control::start(&node, settings).expect("control starts")
         };
         node.set_control(Arc::clone(&control));
@@ -72,19 +72,19 @@
     }
 }
 
-/// Binds `addr`; its former owner may still be closing.
+/// Binds `addr`, with retries: the former owner may still be closing its socket.
 async fn bind(addr: SocketAddr) -> TcpListener {
-    let end = tokio::time::Instant::now() + WAIT;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         match TcpListener::bind(addr).await {
             Ok(listener) => return listener,
-            Err(err) => assert!(tokio::time::Instant::now() < end, "bind {addr}: {err}"),
+            Err(err) => assert!(tokio::time::Instant::now() < deadline, "bind {addr}: {err}"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Addresses free now.
+/// Loopback addresses with ports that are currently free.
 pub async fn free_addrs(count: usize) -> Vec<SocketAddr> {
     let mut listeners = Vec::new();
     for _ in 0..count {
@@ -95,47 +95,47 @@
     addrs.map(|addr| addr.expect("an address")).collect()
 }
 
-/// Proposes until it gets a verdict.
+/// Proposes `command` until it gets a verdict other than `Unavailable`.
 pub async fn decide(process: &Process, command: &agree::Command) -> agree::Verdict {
-    let end = tokio::time::Instant::now() + WAIT;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         match process.control.propose(command.clone()).await {
             agree::Verdict::Unavailable => {}
             verdict => return verdict,
         }
-        assert!(tokio::time::Instant::now() < end, "no verdict in time");
+        assert!(tokio::time::Instant::now() < deadline, "no verdict in time");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Waits until `done` holds of the process's status.
+/// Waits until `done` accepts the status of the process. `what` names the condition in a failure.
 pub async fn until(
     process: &Process,
     what: &str,
     done: impl Fn(&wigeonbarrow::control::replica::Status) -> bool,
 ) {
-    let end = tokio::time::Instant::now() + WAIT;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         if let Some(status) = process.control.status().await {
             if done(&status) {
                 return;
             }
-            assert!(tokio::time::Instant::now() < end, "{what}: {status:?}");
+            assert!(tokio::time::Instant::now() < deadline, "{what}: {status:?}");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 pub async fn leader(processes: &[Process]) -> usize {
-    let end = tokio::time::Instant::now() + WAIT;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     loop {
         for (at, process) in processes.iter().enumerate() {
             let status = process.control.status().await;
-            if status.is_some_and(|one| one.standing == Standing::Leader && one.leads) {
+            if status.is_some_and(|status| status.standing == Standing::Leader && status.leads) {
                 return at;
             }
         }
-        assert!(tokio::time::Instant::now() < end, "no leader in time");
+        assert!(tokio::time::Instant::now() < deadline, "no leader in time");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -303,7 +303,7 @@
     pub fn hand_over(&mut self, at: usize) {
         let now = self.local(at);
         self.with(at, |replica| {
-            replica.hand_over(now);
+            replica.transfer_leadership(now);
         });
     }
 
@@ -433,7 +433,7 @@
         for output in outputs {
             match output {
                 Output::Published => {}
-                Output::Suspected => self.vms[at].news += 1,
+                Output::SuspectsChanged => self.vms[at].news += 1,
                 Output::Verdict(token, verdict) => {
                     if !self.step(at) {
                         return;
--- a/tests/common/vms.rs
+++ b/tests/common/vms.rs
@@ -47,13 +47,13 @@
         };
         let replica = Replica::new(self.local(at), settings, saved);
         let mut replica = replica.expect("the snapshot decodes");
-        replica.compact_each(self.compact);
+        replica.set_compact_bytes(self.compact);
         if self.open.is_some() {
             // As the processes' greetings do: all learn of whoever comes.
             let addrs: Vec<SocketAddr> = self.vms.iter().map(|vm| vm.addr).collect();
             let others = self.vms.iter_mut().filter_map(|vm| vm.replica.as_mut());
-            others.for_each(|other| other.know(addrs.clone(), None));
-            replica.know(addrs, None);
+            others.for_each(|other| other.set_peers(addrs.clone(), None));
+            replica.set_peers(addrs, None);
         }
         let vm = &mut self.vms[at];
         vm.epoch += 1;
--- a/tests/control_cluster.rs
+++ b/tests/control_cluster.rs
@@ -1,4 +1,4 @@
-//! Control processes over real links, threads and folders.
+//! Control processes with real links, threads and data folders.
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -19,22 +19,22 @@
 use wigeonbarrow::wire::member;
 use wigeonbarrow::wire::rpc;
 
-/// Says hello, as all control processes do to each other, until the answer is as it should be.
+/// Sends `Hello`, as any process does each period, until the view is as expected.
 async fn hello(
     process: &Process,
     peer: &member::Peer,
-    is_right: impl Fn(&rpc::View) -> bool,
+    is_expected: impl Fn(&rpc::View) -> bool,
 ) -> rpc::View {
-    let end = tokio::time::Instant::now() + cluster::WAIT;
+    let deadline = tokio::time::Instant::now() + cluster::TIMEOUT;
     loop {
         let answer = process.control.ask(rpc::Ask::Hello(peer.clone())).await;
         let rpc::Answer::View(view) = answer else {
             panic!("{answer:?}");
         };
-        if is_right(&view) {
+        if is_expected(&view) {
             return view;
         }
-        assert!(tokio::time::Instant::now() < end, "{view:?}");
+        assert!(tokio::time::Instant::now() < deadline, "{view:?}");
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
 }
@@ -49,37 +49,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn single_member() {
+async fn single_member_keeps_state_over_restart() {
     let dir = tempfile::tempdir().expect("a folder");
     let addrs = free_addrs(1).await;
-    let one = start_all(&addrs, &dir).await.pop().expect("one process");
-    assert_eq!(decide(&one, &claim(1, 1)).await, Verdict::Claimed);
+    let process = start_all(&addrs, &dir).await.pop().expect("one process");
+    assert_eq!(decide(&process, &claim(1, 1)).await, Verdict::Claimed);
     assert_eq!(
-        decide(&one, &configure(1, 0, 7)).await,
+        decide(&process, &configure(1, 0, 7)).await,
         Verdict::Done { revision: 1 }
     );
-    one.stop().await;
+    process.stop().await;
 
-    // After a restart all of it is still there, and in force.
-    let one = start_all(&addrs, &dir).await.pop().expect("one process");
+    // After a restart all of it is still known, and the configuration is installed.
+    let process = start_all(&addrs, &dir).await.pop().expect("one process");
     assert_eq!(
-        decide(&one, &configure(1, 0, 7)).await,
+        decide(&process, &configure(1, 0, 7)).await,
         Verdict::Done { revision: 1 }
     );
     let held = Verdict::Held {
         request: id::Request(1),
         ended: None,
     };
-    assert_eq!(decide(&one, &claim(1, 2)).await, held);
-    until(&one, "installed", |_| one.node.conf().revision == 1).await;
-    assert_eq!(one.node.conf().workspace["crew"].share, 7);
-    one.stop().await;
+    assert_eq!(decide(&process, &claim(1, 2)).await, held);
+    until(&process, "installed", |_| process.node.conf().revision == 1).await;
+    assert_eq!(process.node.conf().workspace["crew"].share, 7);
+    process.stop().await;
 }
 
-/// An entry speaks with one control process at a time: all others must know of it, or two entries
-/// would never learn of each other.
+/// An entry talks to one control process at a time. The others must learn of it, or two entries
+/// would never discover each other.
 #[tokio::test(flavor = "multi_thread")]
-async fn hello_elsewhere() {
+async fn entries_discover_each_other_through_different_controls() {
     let dir = tempfile::tempdir().expect("a folder");
     let addrs = free_addrs(3).await;
     let processes = start_all(&addrs, &dir).await;
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn three_members() {
+async fn acknowledged_state_survives_loss_of_members() {
     let dir = tempfile::tempdir().expect("a folder");
     let addrs = free_addrs(3).await;
     let mut processes = start_all(&addrs, &dir).await;
@@ -122,7 +122,7 @@
         until(process, "installed", |_| process.node.conf().revision == 3).await;
     }
 
-    // Whoever says hello learns of the leader first.
+    // A view lists the leader first.
     let at = leader(&processes).await;
     let peer = |role: member::Role, name: &str, link: SocketAddr| member::Peer {
         role,
@@ -141,48 +141,51 @@
     );
     for process in &processes {
         hello(process, &lead, |_| true).await;
-        let is_right =
+        let is_expected =
             |view: &rpc::View| view.peers[0].link == addrs[at] && view.peers.contains(&entry);
-        hello(process, &entry, is_right).await;
+        hello(process, &entry, is_expected).await;
     }
 
-    // The leader goes, orderly: another takes over, and a change gets its first answer there.
+    // The leader stops in order: another takes over and returns the recorded verdict on a change.
     let at = leader(&processes).await;
-    let gone = processes.remove(at);
-    gone.control.hand_over(cluster::WAIT).await;
-    gone.stop().await;
+    let stopped = processes.remove(at);
+    stopped.control.transfer_leadership(cluster::TIMEOUT).await;
+    stopped.stop().await;
     assert_eq!(
         decide(&processes[0], &configure(0, 0, 1)).await,
         Verdict::Done { revision: 1 }
     );
 
-    // It comes back with an empty folder: a new life, which votes only after its admission.
+    // It returns with an empty folder: a new incarnation, which votes only after its admission.
     let data = dir.path().join("wiped");
-    let back = Process::start(addrs[at], &addrs, data).await;
-    let life = back.control.status().await.expect("a status").life;
-    until(&back, "admitted", |status| {
+    let restarted = Process::start(addrs[at], &addrs, data).await;
+    let life = restarted.control.status().await.expect("a status").life;
+    until(&restarted, "admitted", |status| {
         let mut members = status.members.iter();
-        members.any(|one| one.life == life && one.votes) && status.members.len() == 3
+        members.any(|member| member.life == life && member.votes) && status.members.len() == 3
+    })
+    .await;
+    until(&restarted, "installed", |_| {
+        restarted.node.conf().revision == 3
     })
     .await;
-    until(&back, "installed", |_| back.node.conf().revision == 3).await;
 
-    // Right after that repair a second one is lost for good: nothing acknowledged is.
+    // Then a second member is lost for good: everything acknowledged survives.
     let at = leader(&processes).await;
     processes.remove(at).stop().await;
     let held = Verdict::Held {
         request: id::Request(1),
         ended: None,
     };
-    assert_eq!(decide(&back, &claim(2, 9)).await, held);
-    back.stop().await;
+    assert_eq!(decide(&restarted, &claim(2, 9)).await, held);
+    restarted.stop().await;
     for process in processes {
         process.stop().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn replaced_member() {
+async fn replacement_of_failed_member_gets_a_vote() {
     let dir = tempfile::tempdir().expect("a folder");
     let addrs = free_addrs(4).await;
     let mut processes = start_all(&addrs[..3], &dir).await;
@@ -203,8 +206,8 @@
     }
     let new = Process::start(addrs[3], &addrs[..3], dir.path().join("new")).await;
     until(&new, "votes", |status| {
-        let voters = status.members.iter().filter(|one| one.votes);
-        let voters: Vec<_> = voters.map(|one| one.addr).collect();
+        let voters = status.members.iter().filter(|member| member.votes);
+        let voters: Vec<_> = voters.map(|member| member.addr).collect();
         voters.len() == 3 && voters.contains(&addrs[3]) && !voters.contains(&addrs[old])
     })
     .await;
--- a/tests/open_members.rs
+++ b/tests/open_members.rs
@@ -171,7 +171,7 @@
         let leads = |sim: &Sim| {
             sim.leader().is_some_and(|at| {
                 let replica = sim.vms[at].replica.as_ref().expect("it runs");
-                replica.state().published() == 7
+                replica.state().document_version() == 7
             })
         };
         assert!(
