--- a/tests/agreed_state.rs
+++ b/tests/agreed_state.rs
@@ -1,4 +1,4 @@
-//! The agreed state: what each command leads to.
+//! The agreed state: the result of each command.
 
 use assert_matches::assert_matches;
 use wigeonbarrow::control::state;
@@ -15,14 +15,14 @@
 use work::configure;
 use work::settle;
 
-const TTL: u64 = 600_000;
+const TTL_MS: u64 = 600_000;
 
-struct Bench {
+struct Harness {
     state: State,
     clock_ms: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         Self {
             state: State::default(),
@@ -30,10 +30,10 @@
         }
     }
 
-    fn put(&mut self, command: &Command) -> Verdict {
+    fn apply(&mut self, command: &Command) -> Verdict {
         let verdict = self.state.apply(self.clock_ms, 0, None, command);
-        // Whatever happened, a snapshot says all of it.
-        let copy = State::decode(&self.state.encode()).expect("it decodes");
+        // A snapshot must round-trip after every command.
+        let copy = State::decode(&self.state.encode()).expect("the snapshot decodes");
         assert_eq!(copy, self.state);
         verdict
     }
@@ -57,45 +57,48 @@
 }
 
 #[test]
-fn equal_revisions() {
-    let mut bench = Bench::new();
+fn concurrent_changes_get_one_revision() {
+    let mut harness = Harness::new();
     let done = Verdict::Done { revision: 1 };
     let lost = Verdict::Conflict {
         revision: 1,
         author: "author-1".to_owned(),
     };
-    assert_eq!(bench.put(&configure(1, 0)), done);
-    assert_eq!(bench.put(&configure(2, 0)), lost);
-    assert_eq!(bench.put(&configure(3, 1)), Verdict::Done { revision: 2 });
-    // Sent again, each gets its first answer.
-    assert_eq!(bench.put(&configure(1, 0)), done);
-    assert_eq!(bench.put(&configure(2, 0)), lost);
-    assert_eq!(bench.state.conf().revision(), 2);
-    let authors: Vec<_> = bench
+    assert_eq!(harness.apply(&configure(1, 0)), done);
+    assert_eq!(harness.apply(&configure(2, 0)), lost);
+    assert_eq!(
+        harness.apply(&configure(3, 1)),
+        Verdict::Done { revision: 2 }
+    );
+    // Retried changes get the recorded verdict.
+    assert_eq!(harness.apply(&configure(1, 0)), done);
+    assert_eq!(harness.apply(&configure(2, 0)), lost);
+    assert_eq!(harness.state.conf().revision(), 2);
+    let authors: Vec<_> = harness
         .state
         .conf()
         .history()
-        .map(|one| &one.author)
+        .map(|meta| &meta.author)
         .collect();
     assert_eq!(authors, ["author-1", "author-3"]);
 }
 
 #[test]
-fn kept_history() {
-    let mut bench = Bench::new();
+fn old_revisions_are_dropped() {
+    let mut harness = Harness::new();
     let count = state::KEPT_CONTENTS as u64 + 10;
     for revision in 0..count {
-        bench.put(&configure(u128::from(revision), revision));
+        harness.apply(&configure(u128::from(revision), revision));
     }
-    let conf = bench.state.conf();
+    let conf = harness.state.conf();
     assert!(conf.files(10).is_none());
     let files = conf.files(11).expect("kept");
     assert!(files[0].text.contains("share = 11"));
-    assert!(bench.state.encode().len() < 100_000);
+    assert!(harness.state.encode().len() < 100_000);
 }
 
 #[test]
-fn bounded_texts() {
+fn file_texts_stay_bounded() {
     let mut state = State::default();
     for revision in 0..20_u64 {
         let Command::Configure(mut change) = configure(u128::from(revision), revision) else {
@@ -112,31 +115,35 @@
 }
 
 #[test]
-fn one_run() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.put(&claim(1, 1)), Verdict::Claimed);
-    assert_eq!(bench.put(&claim(1, 1)), Verdict::Claimed, "sent again");
-    assert_eq!(bench.put(&claim(1, 2)), held(1, None));
-    assert_matches!(bench.put(&settle(1, 2)), Verdict::Held { .. });
-    assert_matches!(bench.put(&settle(1, 1)), Verdict::Done { .. });
+fn key_runs_at_most_once() {
+    let mut harness = Harness::new();
+    assert_eq!(harness.apply(&claim(1, 1)), Verdict::Claimed);
+    assert_eq!(harness.apply(&claim(1, 1)), Verdict::Claimed, "a retry");
+    assert_eq!(harness.apply(&claim(1, 2)), held(1, None));
+    assert_matches!(harness.apply(&settle(1, 2)), Verdict::Held { .. });
+    assert_matches!(harness.apply(&settle(1, 1)), Verdict::Done { .. });
     let ended = Some((Ran::Ran, 200));
-    assert_eq!(bench.put(&claim(1, 2)), held(1, ended));
-    assert_eq!(bench.put(&claim(1, 1)), held(1, ended), "it ran to its end");
+    assert_eq!(harness.apply(&claim(1, 2)), held(1, ended));
+    assert_eq!(
+        harness.apply(&claim(1, 1)),
+        held(1, ended),
+        "its run has completed"
+    );
     let other = Command::Claim {
         workspace: "crew".to_owned(),
         key: "key-1".to_owned(),
         request: id::Request(3),
         fingerprint: fingerprint(99),
-        ttl_ms: TTL,
+        ttl_ms: TTL_MS,
     };
-    assert_eq!(bench.put(&other), Verdict::Mismatch);
-    bench.clock_ms += TTL + 1;
-    assert_eq!(bench.put(&claim(1, 4)), Verdict::Claimed, "forgotten");
+    assert_eq!(harness.apply(&other), Verdict::Mismatch);
+    harness.clock_ms += TTL_MS + 1;
+    assert_eq!(harness.apply(&claim(1, 4)), Verdict::Claimed, "expired");
 }
 
 #[test]
-fn freed_claim() {
-    let mut bench = Bench::new();
+fn late_duplicate_cannot_retake_freed_claim() {
+    let mut harness = Harness::new();
     let Command::Settle {
         workspace,
         key,
@@ -153,18 +160,25 @@
         ran: Ran::NotRun,
         status: 503,
     };
-    assert_eq!(bench.put(&claim(1, 1)), Verdict::Claimed);
-    assert_matches!(bench.put(&not_run), Verdict::Done { .. });
-    // A late copy of the first claim must not take what nobody would give back.
-    assert_eq!(bench.put(&claim(1, 1)), held(1, Some((Ran::NotRun, 503))));
-    assert_eq!(bench.put(&claim(1, 2)), Verdict::Claimed);
-    assert_eq!(bench.put(&claim(1, 1)), held(2, None));
-    assert_matches!(bench.put(&not_run), Verdict::Held { .. });
-    assert_eq!(bench.put(&claim(1, 2)), Verdict::Claimed, "still its own");
+    assert_eq!(harness.apply(&claim(1, 1)), Verdict::Claimed);
+    assert_matches!(harness.apply(&not_run), Verdict::Done { .. });
+    // A late duplicate of the first claim must not take it again: nobody would free it.
+    assert_eq!(
+        harness.apply(&claim(1, 1)),
+        held(1, Some((Ran::NotRun, 503)))
+    );
+    assert_eq!(harness.apply(&claim(1, 2)), Verdict::Claimed);
+    assert_eq!(harness.apply(&claim(1, 1)), held(2, None));
+    assert_matches!(harness.apply(&not_run), Verdict::Held { .. });
+    assert_eq!(
+        harness.apply(&claim(1, 2)),
+        Verdict::Claimed,
+        "a retry of the new owner"
+    );
 }
 
 #[test]
-fn bounded_claims() {
+fn full_table_evicts_no_claim() {
     let mut state = State::default();
     for number in 0..state::MAX_CLAIMS as u64 {
         let verdict = state.apply(1, 0, None, &claim(number, 1));
@@ -174,9 +188,9 @@
         state.apply(1, 0, None, &claim(u64::MAX, 1)),
         Verdict::Wait { .. }
     );
-    let again = state.apply(1, 0, None, &claim(0, 1));
-    assert_eq!(again, Verdict::Claimed, "what is held stays");
-    let late = 2 + TTL;
+    let retried = state.apply(1, 0, None, &claim(0, 1));
+    assert_eq!(retried, Verdict::Claimed, "existing claims are kept");
+    let late = 2 + TTL_MS;
     assert_eq!(
         state.apply(late, 0, None, &claim(u64::MAX, 1)),
         Verdict::Claimed
@@ -185,55 +199,69 @@
 }
 
 #[test]
-fn two_crashes() {
-    let mut bench = Bench::new();
-    bench.put(&crash("wigeon-1", 10, &[1, 2]));
-    bench.put(&crash("wigeon-1", 10, &[1, 2, 3]));
-    bench.put(&crash("wigeon-1", 11, &[1]));
-    let servers = |bench: &Bench, number: u64| {
-        let suspects = bench.state.suspects(bench.clock_ms);
+fn repeated_crash_reports_count_once() {
+    let mut harness = Harness::new();
+    harness.apply(&crash("wigeon-1", 10, &[1, 2]));
+    harness.apply(&crash("wigeon-1", 10, &[1, 2, 3]));
+    harness.apply(&crash("wigeon-1", 11, &[1]));
+    let servers = |harness: &Harness, number: u64| {
+        let suspects = harness.state.suspects(harness.clock_ms);
         let mut found = suspects
             .iter()
-            .filter(|one| one.fingerprint == fingerprint(number));
-        found.next().map_or(0, |one| one.servers.len())
+            .filter(|suspect| suspect.fingerprint == fingerprint(number));
+        found.next().map_or(0, |suspect| suspect.servers.len())
     };
-    assert_eq!(servers(&bench, 1), 1, "one backend server counts once");
-    assert_eq!(servers(&bench, 3), 0, "a life reported twice counts once");
-    bench.put(&crash("wigeon-2", 10, &[1]));
-    assert_eq!(servers(&bench, 1), 2, "quarantined");
-    bench.put(&Command::Clear(fingerprint(2)));
-    assert_eq!(servers(&bench, 2), 0);
-    bench.clock_ms += state::Limits::default().suspect_ttl_ms;
-    assert_eq!(servers(&bench, 1), 0, "forgotten");
+    assert_eq!(
+        servers(&harness, 1),
+        1,
+        "two crashes of one backend server count once"
+    );
+    assert_eq!(
+        servers(&harness, 3),
+        0,
+        "an incarnation reported twice counts once"
+    );
+    harness.apply(&crash("wigeon-2", 10, &[1]));
+    assert_eq!(servers(&harness, 1), 2, "quarantined");
+    harness.apply(&Command::Clear(fingerprint(2)));
+    assert_eq!(servers(&harness, 2), 0);
+    harness.clock_ms += state::Limits::default().suspect_ttl_ms;
+    assert_eq!(servers(&harness, 1), 0, "expired");
 }
 
 #[test]
-fn bounded_suspects() {
-    let mut bench = State::default();
-    bench.apply(1, 0, None, &crash("wigeon-a", 1, &[7]));
-    bench.apply(1, 0, None, &crash("wigeon-b", 1, &[7]));
+fn quarantined_suspect_is_not_evicted() {
+    let mut state = State::default();
+    state.apply(1, 0, None, &crash("wigeon-a", 1, &[7]));
+    state.apply(1, 0, None, &crash("wigeon-b", 1, &[7]));
     for engine in 0..50_u64 {
-        let running: Vec<u64> = (0..500).map(|one| 1_000 + engine * 500 + one).collect();
-        bench.apply(2, 0, None, &crash("wigeon-1", engine, &running));
+        let running: Vec<u64> = (0..500).map(|at| 1_000 + engine * 500 + at).collect();
+        state.apply(2, 0, None, &crash("wigeon-1", engine, &running));
     }
-    let suspects = bench.suspects(3);
+    let suspects = state.suspects(3);
     assert_eq!(suspects.len(), state::MAX_SUSPECTS);
-    let kept = suspects.iter().any(|one| one.fingerprint == fingerprint(7));
-    assert!(kept, "a quarantined one stays");
+    let kept = suspects
+        .iter()
+        .any(|suspect| suspect.fingerprint == fingerprint(7));
+    assert!(kept, "a quarantined suspect is kept");
 }
 
 #[test]
-fn fences_ascend() {
-    let mut bench = Bench::new();
+fn fencing_numbers_ascend() {
+    let mut harness = Harness::new();
     let mut last = 0;
     for server in [1, 2, 1, 1, 2] {
-        match bench.put(&work::fence(server)) {
+        match harness.apply(&work::fence(server)) {
             Verdict::Number(number) => {
                 assert!(number > last);
                 last = number;
                 let server = format!("wigeon-{server}");
-                let current = bench.put(&Command::Fenced { server });
-                assert_eq!(current, Verdict::Number(number), "in force for that one");
+                let current = harness.apply(&Command::Fenced { server });
+                assert_eq!(
+                    current,
+                    Verdict::Number(number),
+                    "the current number of this server"
+                );
             }
             other => panic!("{other:?}"),
         }
@@ -241,34 +269,38 @@
 }
 
 #[test]
-fn load_slots() {
-    let mut bench = Bench::new();
+fn weight_loads_stay_limited() {
+    let mut harness = Harness::new();
     let load = |server: &str| Command::Load {
         server: server.to_owned(),
         model: "model".to_owned(),
     };
-    assert_matches!(bench.put(&load("a")), Verdict::Done { .. });
-    assert_matches!(bench.put(&load("a")), Verdict::Done { .. }, "its own");
-    assert_matches!(bench.put(&load("b")), Verdict::Done { .. });
-    assert_matches!(bench.put(&load("c")), Verdict::Wait { .. });
+    assert_matches!(harness.apply(&load("a")), Verdict::Done { .. });
+    assert_matches!(harness.apply(&load("a")), Verdict::Done { .. }, "a renewal");
+    assert_matches!(harness.apply(&load("b")), Verdict::Done { .. });
+    assert_matches!(harness.apply(&load("c")), Verdict::Wait { .. });
     let loaded = Command::Loaded {
         server: "a".to_owned(),
     };
-    bench.put(&loaded);
-    assert_matches!(bench.put(&load("c")), Verdict::Done { .. });
-    bench.clock_ms += state::LOAD_TTL_MS + 1;
-    assert_matches!(bench.put(&load("d")), Verdict::Done { .. }, "slots end");
+    harness.apply(&loaded);
+    assert_matches!(harness.apply(&load("c")), Verdict::Done { .. });
+    harness.clock_ms += state::LOAD_TTL_MS + 1;
+    assert_matches!(
+        harness.apply(&load("d")),
+        Verdict::Done { .. },
+        "slots expire"
+    );
 }
 
 #[test]
-fn clock_stands_in_entries() {
-    // A leader with an older clock does not bring back what has ended.
-    let mut bench = Bench::new();
-    bench.clock_ms = 1_000;
-    bench.put(&claim(1, 1));
-    bench.clock_ms = 1_000 + TTL + 1;
-    bench.put(&claim(2, 1));
-    bench.clock_ms = 5;
-    assert_eq!(bench.put(&claim(1, 9)), Verdict::Claimed);
-    assert_eq!(bench.state.clock_ms(), 1_000 + TTL + 1);
+fn older_leader_clock_revives_no_claim() {
+    // A leader whose clock is behind must not revive expired claims.
+    let mut harness = Harness::new();
+    harness.clock_ms = 1_000;
+    harness.apply(&claim(1, 1));
+    harness.clock_ms = 1_000 + TTL_MS + 1;
+    harness.apply(&claim(2, 1));
+    harness.clock_ms = 5;
+    assert_eq!(harness.apply(&claim(1, 9)), Verdict::Claimed);
+    assert_eq!(harness.state.clock_ms(), 1_000 + TTL_MS + 1);
 }
