--- a/src/edge/direct/stop.rs
+++ b/src/edge/direct/stop.rs
@@ -92,7 +92,7 @@
     node.drain();
     listeners.close_after_next();
     if let Some(control) = node.control().cloned() {
-        tokio::spawn(async move { control.hand_over(HAND_OVER_TIMEOUT).await });
+        tokio::spawn(async move { control.transfer_leadership(HAND_OVER_TIMEOUT).await });
     }
     let drained = async {
         time::sleep(NOT_READY_TIME).await;
