--- a/src/cmd/control_change.rs
+++ b/src/cmd/control_change.rs
@@ -50,12 +50,12 @@
     };
     let client = util::Client::new(matches)?;
     match client.post("/admin/v1/members", &order)? {
-        member::Ordered::Taken => {
+        member::Outcome::Taken => {
             println!("begun; `wigeonbarrow control members` shows when it is done");
             Ok(())
         }
-        member::Ordered::Refused(why) => Err(util::Error::Refused(why)),
-        member::Ordered::Unavailable => {
+        member::Outcome::Refused(why) => Err(util::Error::Refused(why)),
+        member::Outcome::Unavailable => {
             let text = "no leader is known, or another change of members is under way";
             Err(util::Error::Unknown(text.to_owned()))
         }
--- a/src/control/consensus.rs
+++ b/src/control/consensus.rs
@@ -52,14 +52,14 @@
     /// This member.
     pub me: member::Member,
     /// Addresses of the first members, this one's among them.
-    pub listed: Vec<SocketAddr>,
+    pub founders: Vec<SocketAddr>,
     /// Seed of all its chance.
     pub seed: u64,
     /// Times.
     pub timing: Timing,
     /// Whether the first cluster may be founded by this member. `false`: only once
-    /// [`Raft::know`] was told the founders.
-    pub founds: bool,
+    /// [`Raft::learn_peers`] was told the founders.
+    pub may_found: bool,
     /// How members come and go.
     pub admission: Admission,
 }
@@ -73,14 +73,14 @@
     /// when one that has joined can take its place.
     Open {
         /// Voters below which a silent one stays until there is a successor.
-        least: usize,
+        min_voters: usize,
     },
 }
 
 /// What a member is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum Role {
     /// It belongs to no cluster yet.
     Unborn,
     /// It follows, and is not known here to be a voter for good.
@@ -94,10 +94,10 @@
 }
 
 #[derive(Debug)]
-enum Role {
+enum RoleState {
     Follower,
     /// Asks whether it would be elected.
-    Asking {
+    PreCandidate {
         granted: BTreeSet<member::Member>,
     },
     Candidate {
@@ -164,7 +164,7 @@
     commit: u64,
     /// What the disk was last given of `commit`.
     commit_written: u64,
-    role: Role,
+    role: RoleState,
     leader: Option<member::Member>,
     /// When the leader was heard last, or this member started.
     heard: Option<Duration>,
@@ -189,7 +189,7 @@
     /// Others that belong to no cluster, and when they last said so.
     unborn: BTreeMap<SocketAddr, (id::Incarnation, Duration)>,
     hailed: Option<Duration>,
-    /// Addresses that may be members, besides those listed.
+    /// Addresses that may be members, besides those founders.
     known: Vec<SocketAddr>,
     watch: watch::Watch,
 }
@@ -223,7 +223,7 @@
             log,
             encoded: None,
             members,
-            role: Role::Follower,
+            role: RoleState::Follower,
             leader: None,
             // Before its end it may have promised a leader not to vote. Where reads pass the
             // log, nothing rests on that promise, and the next leader need not wait for it.
@@ -298,13 +298,13 @@
     }
 
     /// What it is.
-    pub fn standing(&self) -> Standing {
+    pub fn role(&self) -> Role {
         match self.role {
-            _ if self.hard.cluster == 0 => Standing::Unborn,
-            Role::Leader(_) => Standing::Leader,
-            Role::Asking { .. } | Role::Candidate { .. } => Standing::Candidate,
-            Role::Follower if self.counts_as_voter() => Standing::Follower,
-            Role::Follower => Standing::Learner,
+            _ if self.hard.cluster == 0 => Role::Unborn,
+            RoleState::Leader(_) => Role::Leader,
+            RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => Role::Candidate,
+            RoleState::Follower if self.counts_as_voter() => Role::Follower,
+            RoleState::Follower => Role::Learner,
         }
     }
 
@@ -335,8 +335,8 @@
     /// Index up to which a follower is known to hold the log. Only a leader knows.
     pub fn matched(&self, member: &member::Member) -> Option<u64> {
         match &self.role {
-            Role::Leader(_) if *member == self.me() => Some(self.durable),
-            Role::Leader(lead) => lead.peers.get(member).map(|one| one.matched),
+            RoleState::Leader(_) if *member == self.me() => Some(self.durable),
+            RoleState::Leader(lead) => lead.peers.get(member).map(|one| one.matched),
             _ => None,
         }
     }
@@ -352,7 +352,7 @@
         self.check_quorum(now);
         self.write_commit();
         self.hail(now);
-        if matches!(self.role, Role::Leader(_)) {
+        if matches!(self.role, RoleState::Leader(_)) {
             self.manage_members(now);
             self.replicate(now);
         } else if now >= self.deadline {
--- a/src/control/consensus/durable.rs
+++ b/src/control/consensus/durable.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Raft;
-use super::Role;
+use super::RoleState;
 use super::log;
 use super::member;
 use super::message;
@@ -22,13 +22,13 @@
             self.out.push(env);
         }
         match &mut self.role {
-            Role::Candidate {
+            RoleState::Candidate {
                 granted, own_vote, ..
             } if *own_vote <= seq => {
                 granted.insert(self.settings.me);
                 self.win_if_elected(now);
             }
-            Role::Leader(_) => self.advance_commit(),
+            RoleState::Leader(_) => self.advance_commit(),
             _ => {}
         }
     }
@@ -36,7 +36,7 @@
     /// Takes the report that the disk takes nothing now. A later [`Self::synced`] ends that.
     pub fn stall(&mut self, now: Duration) {
         self.stalled = true;
-        if !matches!(self.role, Role::Follower) {
+        if !matches!(self.role, RoleState::Follower) {
             self.follow(now, self.hard.term);
         }
     }
--- a/src/control/consensus/election.rs
+++ b/src/control/consensus/election.rs
@@ -7,7 +7,7 @@
 use super::Lead;
 use super::Progress;
 use super::Raft;
-use super::Role;
+use super::RoleState;
 use super::log;
 use super::member;
 use super::message;
@@ -20,7 +20,7 @@
             return false;
         }
         match self.role {
-            Role::Leader(_) => true,
+            RoleState::Leader(_) => true,
             _ => self
                 .heard
                 .is_some_and(|heard| now < heard + self.settings.timing.election),
@@ -34,12 +34,12 @@
             self.hard.vote = None;
             self.write_hard();
         }
-        if matches!(self.role, Role::Leader(_)) {
+        if matches!(self.role, RoleState::Leader(_)) {
             // What it promised as leader binds it as long as it would bind a follower.
             self.heard = Some(now);
             self.clock = (self.clock_ms(now), now);
         }
-        self.role = Role::Follower;
+        self.role = RoleState::Follower;
         self.leader = None;
         self.draw_deadline(now);
     }
@@ -50,14 +50,14 @@
     /// whoever has one under way does not begin the next term: a candidate asks again until
     /// somebody refuses, a voter waits for its sync.
     pub(super) fn stand(&mut self, now: Duration) {
-        if matches!(self.role, Role::Follower) && self.is_voting() {
+        if matches!(self.role, RoleState::Follower) && self.is_voting() {
             return;
         }
         self.draw_deadline(now);
         if self.stalled || !self.membership().votes(&self.me()) {
             return;
         }
-        if let Role::Candidate {
+        if let RoleState::Candidate {
             is_refused: false,
             handover,
             ..
@@ -70,7 +70,7 @@
             return self.campaign(now, false);
         }
         let granted = BTreeSet::from([self.me()]);
-        self.role = Role::Asking { granted };
+        self.role = RoleState::PreCandidate { granted };
         let term = self.hard.term + 1;
         let tail = self.log.tail();
         for to in self.other_voters() {
@@ -89,7 +89,7 @@
         self.hard.vote = Some(self.me());
         self.write_hard();
         self.leader = None;
-        self.role = Role::Candidate {
+        self.role = RoleState::Candidate {
             granted: BTreeSet::new(),
             own_vote: self.write.seq,
             is_refused: false,
@@ -120,12 +120,12 @@
     ) {
         let free = !self.is_bound(now) && !self.stalled && !self.is_voting();
         let granted = free && term > self.hard.term && tail >= self.log.tail();
-        let is_asking = matches!(self.role, Role::Asking { .. });
+        let is_asking = matches!(self.role, RoleState::PreCandidate { .. });
         if granted && is_asking && (tail, from) > (self.log.tail(), self.me()) {
             // Of two that ask at once one yields. If both stood, each would vote for itself, and
             // with only two of three there nobody would lead for another timeout: 2 of 4,000
             // drawn series of losses took over 4.8 s so.
-            self.role = Role::Follower;
+            self.role = RoleState::Follower;
         }
         self.send(from, message::Body::PreVoted { term, granted });
     }
@@ -151,7 +151,7 @@
         granted: bool,
     ) {
         let next = self.hard.term + 1;
-        let Role::Asking { granted: all } = &mut self.role else {
+        let RoleState::PreCandidate { granted: all } = &mut self.role else {
             return;
         };
         if !granted || term != next {
@@ -165,7 +165,7 @@
     }
 
     pub(super) fn count_vote(&mut self, now: Duration, from: member::Member, granted: bool) {
-        let Role::Candidate {
+        let RoleState::Candidate {
             granted: all,
             is_refused,
             ..
@@ -188,7 +188,7 @@
     }
 
     pub(super) fn win_if_elected(&mut self, now: Duration) {
-        let Role::Candidate { granted, .. } = &self.role else {
+        let RoleState::Candidate { granted, .. } = &self.role else {
             return;
         };
         // Its own vote counts only once it is synced.
@@ -200,7 +200,7 @@
     fn lead(&mut self, now: Duration) {
         self.clock = (self.clock_ms(now).max(self.log.clock_ms()), now);
         self.leader = Some(self.me());
-        self.role = Role::Leader(Lead {
+        self.role = RoleState::Leader(Lead {
             peers: BTreeMap::new(),
             first: self.log.tail().index + 1,
             heir: None,
@@ -216,7 +216,7 @@
         let tail = self.log.tail().index;
         let members: Vec<member::Member> = self.membership().all().copied().collect();
         let learners = self.membership().learners.clone();
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
         lead.peers.retain(|one, _| members.contains(one));
@@ -243,22 +243,23 @@
 
     /// When a quorum was last known to follow this leader. `None`: it does not lead.
     fn quorum_answered(&self, now: Duration) -> Option<Duration> {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return None;
         };
         let me = self.me();
-        self.membership().reached(|one| match lead.peers.get(one) {
-            _ if *one == me => now,
-            Some(peer) => peer.answered,
-            None => Duration::ZERO,
-        })
+        self.membership()
+            .quorum_value(|one| match lead.peers.get(one) {
+                _ if *one == me => now,
+                Some(peer) => peer.answered,
+                None => Duration::ZERO,
+            })
     }
 
     /// Whether this member leads, holds its lease and knows all that was committed before: what
     /// it has applied is then the newest. The lease ends an eighth before a follower may vote,
     /// so clocks may run apart by that much.
     pub fn leads(&self, now: Duration) -> bool {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return false;
         };
         let election = self.settings.timing.election;
@@ -272,7 +273,7 @@
     pub fn hand_over(&mut self, now: Duration) -> bool {
         let voters = self.other_voters();
         let until = now + self.settings.timing.election * 2;
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return false;
         };
         let matched = |one: &member::Member| lead.peers.get(one).map(|peer| peer.matched);
@@ -286,7 +287,7 @@
 
     pub(super) fn hand_over_if_ready(&mut self, now: Duration) {
         let tail = self.log.tail().index;
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
         let Some((heir, until)) = lead.heir else {
--- a/src/control/consensus/founding.rs
+++ b/src/control/consensus/founding.rs
@@ -10,7 +10,7 @@
 use rand::Rng as _;
 
 use super::Raft;
-use super::Role;
+use super::RoleState;
 use super::log;
 use super::member;
 use super::message;
@@ -34,7 +34,7 @@
     pub(super) fn hail(&mut self, now: Duration) {
         let is_unborn = self.hard.cluster == 0;
         let silence = self.settings.timing.election * 4;
-        let is_lost = !matches!(self.role, Role::Leader(_))
+        let is_lost = !matches!(self.role, RoleState::Leader(_))
             && self.heard.is_none_or(|heard| now > heard + silence);
         if !is_unborn && !is_lost {
             return;
@@ -47,7 +47,7 @@
             return;
         }
         self.hailed = Some(now);
-        let mut addrs = self.settings.listed.clone();
+        let mut addrs = self.settings.founders.clone();
         addrs.extend(&self.known);
         addrs.extend(self.membership().all().map(|one| one.addr));
         addrs.sort_unstable();
@@ -61,13 +61,13 @@
 
     /// Learns addresses to call while it knows no leader, and, at the first start of all, who
     /// founds the cluster.
-    pub fn know(&mut self, known: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
+    pub fn learn_peers(&mut self, known: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
         self.known = known;
         if let Some(founders) = founders
-            && !self.settings.founds
+            && !self.settings.may_found
         {
-            self.settings.listed = founders;
-            self.settings.founds = true;
+            self.settings.founders = founders;
+            self.settings.may_found = true;
         }
     }
 
@@ -87,7 +87,7 @@
 
     /// A member has not yet heard of its cluster.
     fn enlighten(&mut self, now: Duration, member: member::Member) {
-        if let Role::Leader(lead) = &mut self.role {
+        if let RoleState::Leader(lead) = &mut self.role {
             if let Some(peer) = lead.peers.get_mut(&member) {
                 // What it lacks begins with the snapshot.
                 peer.next = peer.matched + 1;
@@ -124,20 +124,20 @@
         }
     }
 
-    /// Founds the cluster if this member is the first listed and all others are without one.
+    /// Founds the cluster if this member is the first founders and all others are without one.
     fn found_if_all_unborn(&mut self, now: Duration) {
         let me = self.me();
-        if !self.settings.founds {
+        if !self.settings.may_found {
             return;
         }
-        let mut listed = self.settings.listed.clone();
-        listed.sort_unstable();
-        listed.dedup();
-        if listed.first() != Some(&me.addr) {
+        let mut founders = self.settings.founders.clone();
+        founders.sort_unstable();
+        founders.dedup();
+        if founders.first() != Some(&me.addr) {
             return;
         }
         let mut voters = Vec::new();
-        for addr in listed {
+        for addr in founders {
             let life = match self.unborn.get(&addr) {
                 _ if addr == me.addr => me.life,
                 Some((life, at)) if now <= *at + UNBORN_HOLDS => *life,
--- a/src/control/consensus/membership.rs
+++ b/src/control/consensus/membership.rs
@@ -8,7 +8,7 @@
 
 use super::Admission;
 use super::Raft;
-use super::Role;
+use super::RoleState;
 use super::log;
 use super::member;
 
@@ -28,10 +28,10 @@
 
 impl Raft {
     /// Carries out an operator's order, if this member leads.
-    pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Ordered {
+    pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Outcome {
         self.check_quorum(now);
         if !self.may_change_members() {
-            return member::Ordered::Unavailable;
+            return member::Outcome::Unavailable;
         }
         let mut members = self.membership().clone();
         let refused = match order {
@@ -43,15 +43,15 @@
             member::Order::Remove(addr) => self.remove(now, &mut members, *addr),
         };
         if let Err(why) = refused {
-            return member::Ordered::Refused(why);
+            return member::Outcome::Refused(why);
         }
         self.change_members(now, members);
-        member::Ordered::Taken
+        member::Outcome::Taken
     }
 
     /// Whether the last change of members and an entry of this term are committed.
     fn may_change_members(&self) -> bool {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return false;
         };
         let settled = self
@@ -91,7 +91,7 @@
 
     /// Whether a member answered this leader lately.
     fn answers(&self, now: Duration, member: &member::Member) -> bool {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return false;
         };
         let recent = self.settings.timing.election * 2;
@@ -175,7 +175,7 @@
     /// Removes one member that has gone silent, if the others are enough without it.
     /// `has_successor`: another is ready to vote in its place.
     fn drop_silent(&mut self, now: Duration, has_successor: bool) {
-        let Admission::Open { least } = self.settings.admission else {
+        let Admission::Open { min_voters } = self.settings.admission else {
             return;
         };
         let election = self.settings.timing.election;
@@ -188,7 +188,7 @@
             members.learners.retain(|one| *one != lost);
             return self.change_members(now, members);
         }
-        let spare = members.voters.len() > least || has_successor;
+        let spare = members.voters.len() > min_voters || has_successor;
         let silent = members
             .voters
             .iter()
@@ -206,7 +206,7 @@
 
     /// Whether a member has not answered this leader for `limit`.
     fn is_silent(&self, now: Duration, member: &member::Member, limit: Duration) -> bool {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return false;
         };
         let answered = lead.peers.get(member).map(|one| one.answered);
--- a/src/control/consensus/replication.rs
+++ b/src/control/consensus/replication.rs
@@ -7,7 +7,7 @@
 use super::Incoming;
 use super::Progress;
 use super::Raft;
-use super::Role;
+use super::RoleState;
 use super::log;
 use super::member;
 use super::message::Body;
@@ -84,7 +84,7 @@
     /// index is committed in this term.
     pub fn propose(&mut self, now: Duration, payload: log::Payload) -> Option<u64> {
         self.check_quorum(now);
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return None;
         };
         let uncommitted = self.log.tail().index - self.commit;
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn propose_payload(&mut self, now: Duration, payload: log::Payload) -> Option<u64> {
-        if !matches!(self.role, Role::Leader(_)) {
+        if !matches!(self.role, RoleState::Leader(_)) {
             return None;
         }
         let index = self.log.tail().index + 1;
@@ -114,7 +114,7 @@
 
     /// Sends each follower what it lacks, and a heartbeat where nothing was sent lately.
     pub fn replicate(&mut self, now: Duration) {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return;
         };
         let members: Vec<member::Member> = lead.peers.keys().copied().collect();
@@ -129,7 +129,7 @@
         let base = self.log.base().index;
         let tail = self.log.tail().index;
         loop {
-            let Role::Leader(lead) = &mut self.role else {
+            let RoleState::Leader(lead) = &mut self.role else {
                 return;
             };
             let Some(peer) = lead.peers.get_mut(&to) else {
@@ -150,7 +150,7 @@
     }
 
     fn send_append(&mut self, now: Duration, to: member::Member, with_entries: bool) {
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
         let Some(peer) = lead.peers.get_mut(&to) else {
@@ -236,7 +236,7 @@
 
     /// Takes the leader's word for being there.
     fn hear(&mut self, now: Duration, from: member::Member, clock_ms: u64) {
-        if !matches!(self.role, Role::Follower) {
+        if !matches!(self.role, RoleState::Follower) {
             self.follow(now, self.hard.term);
         }
         self.leader = Some(from);
@@ -285,7 +285,7 @@
         sent: u64,
     ) {
         let sent = Duration::from_micros(sent);
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
         let Some(peer) = lead.peers.get_mut(&from) else {
@@ -304,15 +304,17 @@
 
     /// Commits what a quorum has synced, if it is of this term.
     pub(super) fn advance_commit(&mut self) {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return;
         };
         let me = self.me();
-        let reached = self.membership().reached(|one| match lead.peers.get(one) {
-            _ if *one == me => self.durable,
-            Some(peer) => peer.matched,
-            None => 0,
-        });
+        let reached = self
+            .membership()
+            .quorum_value(|one| match lead.peers.get(one) {
+                _ if *one == me => self.durable,
+                Some(peer) => peer.matched,
+                None => 0,
+            });
         let Some(reached) = reached else {
             return;
         };
@@ -327,7 +329,7 @@
         let Some((tail, data)) = self.encoded_snapshot() else {
             return;
         };
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
         let Some(peer) = lead.peers.get_mut(&to) else {
@@ -462,7 +464,7 @@
         offset: u64,
         sent: u64,
     ) {
-        let Role::Leader(lead) = &mut self.role else {
+        let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
         let Some(peer) = lead.peers.get_mut(&from) else {
--- a/src/control/consensus/watch.rs
+++ b/src/control/consensus/watch.rs
@@ -7,7 +7,7 @@
 
 use super::Progress;
 use super::Raft;
-use super::Role;
+use super::RoleState;
 use super::member;
 
 /// Silence after which a caller no longer waits: five of its calls.
@@ -66,7 +66,8 @@
 impl Raft {
     /// Notes whether commits go on.
     pub(super) fn watch(&mut self, now: Duration) {
-        let waits = matches!(self.role, Role::Leader(_)) && self.commit < self.log.tail().index;
+        let waits =
+            matches!(self.role, RoleState::Leader(_)) && self.commit < self.log.tail().index;
         if !waits || self.commit != self.watch.commit.0 {
             self.watch.commit = (self.commit, now);
         }
@@ -87,9 +88,9 @@
 
     /// How long the oldest entries of this leader have waited for their commit, none being
     /// committed meanwhile. Zero: nothing waits, or it does not lead.
-    pub fn waits(&self, now: Duration) -> Duration {
+    pub fn commit_delay(&self, now: Duration) -> Duration {
         let (commit, since) = self.watch.commit;
-        let is_leader = matches!(self.role, Role::Leader(_));
+        let is_leader = matches!(self.role, RoleState::Leader(_));
         if !is_leader || commit != self.commit || self.commit == self.log.tail().index {
             return Duration::ZERO;
         }
@@ -98,7 +99,7 @@
 
     /// What this leader knows of its followers. Empty: it does not lead.
     pub fn followers(&self, now: Duration) -> Vec<Follower> {
-        let Role::Leader(lead) = &self.role else {
+        let RoleState::Leader(lead) = &self.role else {
             return Vec::new();
         };
         let peers = lead.peers.iter();
--- a/src/control/log.rs
+++ b/src/control/log.rs
@@ -105,7 +105,7 @@
 
 impl Entry {
     /// About its size in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         let Payload::Command { command, .. } = &self.payload else {
             return PLAIN_BYTES;
         };
@@ -187,7 +187,7 @@
         let mut bytes = 0;
         let mut out = Vec::new();
         for entry in self.entries.iter().skip(skip).take(max) {
-            bytes += entry.weight();
+            bytes += entry.approx_bytes();
             if !out.is_empty() && bytes > max_bytes {
                 break;
             }
@@ -199,7 +199,7 @@
     /// Appends the next entry.
     pub fn push(&mut self, entry: Entry) {
         assert_eq!(entry.index, self.tail().index + 1, "the log has no gaps");
-        self.bytes += entry.weight();
+        self.bytes += entry.approx_bytes();
         self.entries.push_back(entry);
     }
 
@@ -207,7 +207,7 @@
     pub fn truncate(&mut self, index: u64) {
         while self.entries.back().is_some_and(|last| last.index >= index) {
             let last = self.entries.pop_back().expect("there is a last one");
-            self.bytes -= last.weight();
+            self.bytes -= last.approx_bytes();
         }
     }
 
@@ -215,7 +215,7 @@
     pub fn compact(&mut self, index: u64) {
         while self.entries.front().is_some_and(|one| one.index <= index) {
             let first = self.entries.pop_front().expect("there is a first one");
-            self.bytes -= first.weight();
+            self.bytes -= first.approx_bytes();
             self.base = first.tail();
         }
     }
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -61,7 +61,7 @@
     }
 
     /// What became of an order.
-    pub enum Ordered {
+    pub enum Outcome {
         /// It is in the log of the leader.
         Taken,
         /// It cannot be done.
@@ -98,7 +98,7 @@
     }
 
     /// The largest of `values` (one a voter) that a quorum has reached.
-    pub fn reached<T: Copy + Ord>(&self, value: impl Fn(&Member) -> T) -> Option<T> {
+    pub fn quorum_value<T: Copy + Ord>(&self, value: impl Fn(&Member) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.iter().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(self.quorum() - 1).copied()
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -132,9 +132,9 @@
 
 impl Envelope {
     /// About its size in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         match &self.body {
-            Body::Append { entries, .. } => entries.iter().map(log::Entry::weight).sum(),
+            Body::Append { entries, .. } => entries.iter().map(log::Entry::approx_bytes).sum(),
             Body::Snapshot { data, .. } => data.len(),
             Body::Genesis(snapshot) => snapshot.state.len(),
             _ => 64,
--- a/src/control/record.rs
+++ b/src/control/record.rs
@@ -42,12 +42,12 @@
     /// Where, in bytes from the start of the file.
     pub offset: usize,
     /// What is wrong.
-    pub why: String,
+    pub message: String,
 }
 
 impl fmt::Display for Corrupt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "corrupt at byte {}: {}", self.offset, self.why)
+        write!(f, "corrupt at byte {}: {}", self.offset, self.message)
     }
 }
 
@@ -109,16 +109,16 @@
 pub fn scan(bytes: &[u8]) -> Result<Scan, Corrupt> {
     let mut scan = Scan::default();
     while scan.len < bytes.len() {
-        let corrupt = |why: String| Corrupt {
+        let corrupt = |message: String| Corrupt {
             offset: scan.len,
-            why,
+            message,
         };
         match next(&bytes[scan.len..]).map_err(&corrupt)? {
             Step::Torn => break,
             Step::Record(record, used) => {
-                take(&mut scan, record).map_err(|why| Corrupt {
+                take(&mut scan, record).map_err(|message| Corrupt {
                     offset: scan.len,
-                    why,
+                    message,
                 })?;
                 scan.len += used;
             }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Status {
     /// What it is.
-    pub standing: consensus::Standing,
+    pub standing: consensus::Role,
     /// Life of its data folder.
     pub life: u64,
     /// Its term.
@@ -201,13 +201,13 @@
     }
 
     /// Carries out an operator's order.
-    pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Ordered {
+    pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Outcome {
         self.raft.order(now, order)
     }
 
     /// Learns which other members there may be, and who founds the cluster.
     pub fn know(&mut self, known: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
-        self.raft.know(known, founders);
+        self.raft.learn_peers(known, founders);
     }
 
     /// Gives the leadership away, if there is someone to take it.
@@ -316,7 +316,7 @@
         while self.applied < self.raft.commit() {
             self.apply_next();
         }
-        if self.raft.standing() != consensus::Standing::Leader && !self.waiting.is_empty() {
+        if self.raft.role() != consensus::Role::Leader && !self.waiting.is_empty() {
             for waiting in std::mem::take(&mut self.waiting).into_values() {
                 self.refuse(waiting.token);
             }
@@ -352,7 +352,7 @@
         let entry = self.raft.log().get(index);
         let entry = entry.expect("a committed entry is held until it is applied");
         let term = entry.term;
-        self.since += entry.weight();
+        self.since += entry.approx_bytes();
         let mut verdict = agree::Verdict::Unavailable;
         if let log::Payload::Command {
             wall_ms,
@@ -410,7 +410,7 @@
             matched: raft.matched(one),
         });
         Status {
-            standing: raft.standing(),
+            standing: raft.role(),
             life: raft.me().life.0,
             term: raft.term(),
             leader: raft.leader().map(|one| one.addr),
@@ -425,7 +425,7 @@
             claims: self.state.claims().len(),
             members: known.collect(),
             invited: membership.invited.iter().map(|one| one.addr).collect(),
-            waits_ms: raft.waits(now).as_millis() as u64,
+            waits_ms: raft.commit_delay(now).as_millis() as u64,
             followers: raft.followers(now),
             callers: raft.callers(now),
         }
--- a/src/edge/control.rs
+++ b/src/edge/control.rs
@@ -96,10 +96,10 @@
         }
         let consensus = consensus::Settings {
             me,
-            listed,
+            founders: listed,
             seed: rand::random(),
             timing: consensus::Timing::default(),
-            founds: settings.founds,
+            may_found: settings.founds,
             admission: settings.admission,
         };
         let mut replica = replica::Replica::new(node.now(), consensus, opened.saved)
@@ -150,9 +150,9 @@
             }
             message::Packet::Order(order) => {
                 let verdict = match self.order_here(order).await {
-                    member::Ordered::Taken => agree::Verdict::Done { revision: 0 },
-                    member::Ordered::Refused(why) => agree::Verdict::Invalid(vec![why]),
-                    member::Ordered::Unavailable => agree::Verdict::Unavailable,
+                    member::Outcome::Taken => agree::Verdict::Done { revision: 0 },
+                    member::Outcome::Refused(why) => agree::Verdict::Invalid(vec![why]),
+                    member::Outcome::Unavailable => agree::Verdict::Unavailable,
                 };
                 rpc::Answer::Verdict(verdict)
             }
@@ -280,26 +280,26 @@
 
     /// Carries out an operator's order on the members, at the leader. `Taken` means begun:
     /// [`Self::status`] shows when it is done.
-    pub async fn order(&self, order: member::Order) -> member::Ordered {
+    pub async fn order(&self, order: member::Order) -> member::Outcome {
         let Some(addr) = self.other_leader() else {
             return self.order_here(order).await;
         };
         match self.forward(addr, &message::Packet::Order(order)).await {
-            agree::Verdict::Done { .. } => member::Ordered::Taken,
-            agree::Verdict::Invalid(why) => member::Ordered::Refused(why.join("; ")),
-            _ => member::Ordered::Unavailable,
+            agree::Verdict::Done { .. } => member::Outcome::Taken,
+            agree::Verdict::Invalid(why) => member::Outcome::Refused(why.join("; ")),
+            _ => member::Outcome::Unavailable,
         }
     }
 
-    async fn order_here(&self, order: member::Order) -> member::Ordered {
+    async fn order_here(&self, order: member::Order) -> member::Outcome {
         let (reply, ordered) = oneshot::channel();
         let input = core::Input::Order(order, reply);
         if self.inputs.try_send(input).is_err() {
-            return member::Ordered::Unavailable;
+            return member::Outcome::Unavailable;
         }
         match time::timeout(READ_TIMEOUT, ordered).await {
             Ok(Ok(ordered)) => ordered,
-            _ => member::Ordered::Unavailable,
+            _ => member::Outcome::Unavailable,
         }
     }
 
@@ -322,7 +322,7 @@
         let alone = self.status().await.is_none_or(|one| one.members.len() < 2);
         while !alone && time::Instant::now() < end {
             match self.status().await {
-                Some(status) if status.standing == consensus::Standing::Leader => {}
+                Some(status) if status.standing == consensus::Role::Leader => {}
                 _ => return,
             }
             let _ = self.inputs.try_send(core::Input::HandOver);
--- a/src/edge/control/core.rs
+++ b/src/edge/control/core.rs
@@ -53,7 +53,7 @@
     /// A command.
     Propose(agree::Command, oneshot::Sender<agree::Verdict>),
     /// An operator's order.
-    Order(member::Order, oneshot::Sender<member::Ordered>),
+    Order(member::Order, oneshot::Sender<member::Outcome>),
     /// A question.
     Read(Read),
     /// Others that there may be, and who founds the cluster.
@@ -94,7 +94,7 @@
     failed: bool,
     next_token: replica::Token,
     waiting: HashMap<replica::Token, oneshot::Sender<agree::Verdict>>,
-    standing: Option<consensus::Standing>,
+    standing: Option<consensus::Role>,
     /// Members last told of: their index, and whether they were committed.
     members: (u64, bool),
     ticked: Duration,
@@ -339,7 +339,7 @@
         if **self.shared.leader.load() != leader {
             self.shared.leader.store(Arc::new(leader));
         }
-        let standing = raft.standing();
+        let standing = raft.role();
         if self.standing != Some(standing) {
             self.standing = Some(standing);
             let term = raft.term();
--- a/src/edge/control/disk.rs
+++ b/src/edge/control/disk.rs
@@ -103,7 +103,10 @@
             let scan = record::scan(&bytes).map_err(corrupt)?;
             let Some(me) = scan.identity else {
                 let why = "the file does not say whose it is".to_owned();
-                return Err(corrupt(record::Corrupt { offset: 0, why }));
+                return Err(corrupt(record::Corrupt {
+                    offset: 0,
+                    message: why,
+                }));
             };
             if me.addr == addr {
                 let torn = (bytes.len() - scan.len) as u64;
--- a/src/edge/control/peer.rs
+++ b/src/edge/control/peer.rs
@@ -57,12 +57,12 @@
     mut messages: mpsc::Receiver<message::Envelope>,
 ) {
     while let Some(first) = messages.recv().await {
-        let mut bytes = first.weight();
+        let mut bytes = first.approx_bytes();
         let mut batch = vec![first];
         while bytes < MAX_BYTES
             && let Ok(next) = messages.try_recv()
         {
-            bytes += next.weight();
+            bytes += next.approx_bytes();
             batch.push(next);
         }
         let packet = message::Packet::Batch(batch).encode();
--- a/src/edge/control/watch.rs
+++ b/src/edge/control/watch.rs
@@ -114,13 +114,15 @@
 
     fn set_own(&self, now: Duration, raft: &consensus::Raft) {
         let gauges = &self.gauges;
-        let leads = raft.standing() == consensus::Standing::Leader;
+        let leads = raft.role() == consensus::Role::Leader;
         gauges.leads.set(u64::from(leads));
         gauges.term.set(raft.term());
         gauges.commit.set(raft.commit());
         gauges.tail.set(raft.log().tail().index);
         gauges.durable.set(raft.durable());
-        gauges.waits_ms.set(raft.waits(now).as_millis() as u64);
+        gauges
+            .waits_ms
+            .set(raft.commit_delay(now).as_millis() as u64);
     }
 
     fn set_others(&self, followers: &[watch::Follower], callers: &[watch::Caller]) {
@@ -156,7 +158,7 @@
         followers: &[watch::Follower],
         log: &slog::Logger,
     ) {
-        let waits = raft.waits(now);
+        let waits = raft.commit_delay(now);
         if waits < LONG {
             if self.waits_told.take().is_some() {
                 log_event!(log, Event::ControlCommits, "commit" => raft.commit(),
--- a/tests/common/cluster.rs
+++ b/tests/common/cluster.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tokio::net::TcpListener;
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::edge::control;
 use wigeonbarrow::edge::link;
 use wigeonbarrow::edge::node;
@@ -131,7 +131,7 @@
     loop {
         for (at, process) in processes.iter().enumerate() {
             let status = process.control.status().await;
-            if status.is_some_and(|one| one.standing == Standing::Leader && one.leads) {
+            if status.is_some_and(|one| one.standing == Role::Leader && one.leads) {
                 return at;
             }
         }
--- a/tests/common/judge.rs
+++ b/tests/common/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::control::log;
 use wigeonbarrow::control::message::Body;
 use wigeonbarrow::control::message::Envelope;
@@ -19,7 +19,7 @@
         let vm = &self.vms[at];
         let replica = vm.replica.as_ref().expect("it runs");
         let raft = replica.raft();
-        if raft.standing() == Standing::Leader {
+        if raft.role() == Role::Leader {
             let leader = self.leaders.entry(raft.term()).or_insert(raft.me());
             assert_eq!(*leader, raft.me(), "two leaders in term {}", raft.term());
             if raft.commit() > vm.commit {
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -13,7 +13,7 @@
 use rand::Rng as _;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::control::log;
 use wigeonbarrow::control::member::Member;
 use wigeonbarrow::control::message::Envelope;
@@ -223,7 +223,7 @@
         let leads = |vm: &Vm| {
             let replica = vm.replica.as_ref()?;
             let raft = replica.raft();
-            (raft.standing() == Standing::Leader).then_some(raft.term())
+            (raft.role() == Role::Leader).then_some(raft.term())
         };
         let terms = self.vms.iter().enumerate();
         let terms = terms.filter_map(|(at, vm)| leads(vm).map(|term| (term, at)));
--- a/tests/common/vms.rs
+++ b/tests/common/vms.rs
@@ -34,15 +34,15 @@
         };
         let (me, saved) = self.vms[at].disk.open(me);
         let (founders, admission) = match self.open {
-            Some((founders, least)) => (founders, consensus::Admission::Open { least }),
+            Some((founders, least)) => (founders, consensus::Admission::Open { min_voters: least }),
             None => (self.vms.len(), consensus::Admission::Ordered),
         };
         let settings = consensus::Settings {
             me,
-            listed: self.vms[..founders].iter().map(|vm| vm.addr).collect(),
+            founders: self.vms[..founders].iter().map(|vm| vm.addr).collect(),
             seed: self.rng.random(),
             timing: consensus::Timing::default(),
-            founds: self.open.is_none() || self.lives <= founders as u64,
+            may_found: self.open.is_none() || self.lives <= founders as u64,
             admission,
         };
         let replica = Replica::new(self.local(at), settings, saved);
--- a/tests/consensus_votes.rs
+++ b/tests/consensus_votes.rs
@@ -6,7 +6,7 @@
 use assert_matches::assert_matches;
 use wigeonbarrow::control::consensus;
 use wigeonbarrow::control::consensus::Raft;
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::control::log;
 use wigeonbarrow::control::member;
 use wigeonbarrow::control::member::Member;
@@ -58,10 +58,10 @@
 fn raft(saved: log::Saved) -> Raft {
     let settings = consensus::Settings {
         me: one(1),
-        listed: (1..=3).map(|number| one(number).addr).collect(),
+        founders: (1..=3).map(|number| one(number).addr).collect(),
         seed: 1,
         timing: consensus::Timing::default(),
-        founds: true,
+        may_found: true,
         admission: consensus::Admission::Ordered,
     };
     Raft::new(START, settings, saved)
@@ -175,16 +175,12 @@
     let term = raft.term() + 1;
     let granted = true;
     raft.receive(LATER, from(2, term - 1, Body::PreVoted { term, granted }));
-    assert_eq!(raft.standing(), Standing::Candidate);
+    assert_eq!(raft.role(), Role::Candidate);
     raft.receive(LATER, from(2, term, Body::Voted { granted }));
-    assert_ne!(
-        raft.standing(),
-        Standing::Leader,
-        "its own vote is not synced"
-    );
+    assert_ne!(raft.role(), Role::Leader, "its own vote is not synced");
     let write = raft.take_write().expect("its vote is written");
     raft.synced(LATER, write.seq);
-    assert_eq!(raft.standing(), Standing::Leader);
+    assert_eq!(raft.role(), Role::Leader);
     raft.take_messages();
     term
 }
@@ -230,11 +226,7 @@
     let mut raft = raft(saved(3, &[2, 2]));
     let term = elect(&mut raft);
     raft.stall(LATER);
-    assert_ne!(
-        raft.standing(),
-        Standing::Leader,
-        "it leads on without a disk"
-    );
+    assert_ne!(raft.role(), Role::Leader, "it leads on without a disk");
     raft.receive(LATER, vote(2, term + 1, (9, 9)));
     raft.tick(LATER * 2);
     let messages = raft.take_messages();
@@ -294,7 +286,7 @@
     let mut raft = raft(log::Saved::default());
     assert!(!granted(&mut raft, vote(2, 2, (5, 5))));
     raft.tick(LATER);
-    assert_matches!(raft.standing(), Standing::Unborn);
+    assert_matches!(raft.role(), Role::Unborn);
     let hails = raft.take_messages();
     assert!(hails.iter().all(|env| env.body == Body::Hail));
     assert!(!hails.is_empty());
@@ -307,7 +299,7 @@
     for (other, terms, yields) in [(2, &[2, 3][..], true), (2, &[2, 3, 3][..], false)] {
         let mut raft = raft(saved(3, terms));
         raft.tick(LATER);
-        assert_eq!(raft.standing(), Standing::Candidate, "it asks");
+        assert_eq!(raft.role(), Role::Candidate, "it asks");
         let tail = Tail { term: 3, index: 3 };
         let ask = Body::PreVote { term: 4, tail };
         raft.receive(LATER, from(other, 3, ask));
--- a/tests/control_cluster.rs
+++ b/tests/control_cluster.rs
@@ -13,7 +13,7 @@
 use cluster::leader;
 use cluster::until;
 use wigeonbarrow::control::member::Order;
-use wigeonbarrow::control::member::Ordered;
+use wigeonbarrow::control::member::Outcome;
 use wigeonbarrow::wire::agree::Verdict;
 use wigeonbarrow::wire::id;
 use wigeonbarrow::wire::member;
@@ -196,9 +196,9 @@
     };
     loop {
         match processes[0].control.order(order.clone()).await {
-            Ordered::Taken => break,
-            Ordered::Refused(why) => panic!("{why}"),
-            Ordered::Unavailable => {}
+            Outcome::Taken => break,
+            Outcome::Refused(why) => panic!("{why}"),
+            Outcome::Unavailable => {}
         }
     }
     let new = Process::start(addrs[3], &addrs[..3], dir.path().join("new")).await;
--- a/tests/disk_return.rs
+++ b/tests/disk_return.rs
@@ -15,7 +15,7 @@
 use sim::Sim;
 use sim::disk::Tail;
 use sim::ms;
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::wire::agree::Command;
 use wigeonbarrow::wire::agree::Document;
 use wigeonbarrow::wire::agree::Verdict;
@@ -77,8 +77,8 @@
 
 fn says_that_it_votes(sim: &Sim, at: usize) -> bool {
     let replica = sim.vms[at].replica.as_ref();
-    let standing = replica.map(|one| one.raft().standing());
-    matches!(standing, Some(Standing::Follower | Standing::Leader))
+    let standing = replica.map(|one| one.raft().role());
+    matches!(standing, Some(Role::Follower | Role::Leader))
 }
 
 impl Case {
--- a/tests/leader_lease.rs
+++ b/tests/leader_lease.rs
@@ -6,7 +6,7 @@
 use sim::Sim;
 use sim::fault::Fault;
 use sim::ms;
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::control::consensus::Timing;
 
 fn elected(members: usize) -> (Sim, usize) {
@@ -17,13 +17,13 @@
     (sim, leader)
 }
 
-fn standing(sim: &Sim, at: usize) -> Standing {
+fn role(sim: &Sim, at: usize) -> Role {
     sim.vms[at]
         .replica
         .as_ref()
         .expect("it runs")
         .raft()
-        .standing()
+        .role()
 }
 
 #[test]
@@ -36,7 +36,7 @@
         let lapsed = |sim: &Sim| !sim.has_lease(leader);
         assert!(sim.run_until(ms(10_000), lapsed));
         assert!(sim.now() <= cut + election, "its lease outlasts the cut");
-        let down = |sim: &Sim| standing(sim, leader) != Standing::Leader;
+        let down = |sim: &Sim| role(sim, leader) != Role::Leader;
         assert!(sim.run_until(ms(10_000), down));
         let slack = ms(100);
         assert!(sim.now() <= cut + election + slack, "it leads on");
--- a/tests/open_members.rs
+++ b/tests/open_members.rs
@@ -9,7 +9,7 @@
 use sim::Sim;
 use sim::disk::Tail;
 use sim::ms;
-use wigeonbarrow::control::consensus::Standing;
+use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::wire::agree::Command;
 use wigeonbarrow::wire::agree::Document;
 use wigeonbarrow::wire::agree::Verdict;
@@ -114,10 +114,7 @@
             assert!(sim.run_until(LIMIT, has_voters(&[0, 1, 2])));
             let life_counts = move |sim: &Sim| {
                 let replica = sim.vms[lost].replica.as_ref().expect("it runs");
-                matches!(
-                    replica.raft().standing(),
-                    Standing::Follower | Standing::Leader
-                )
+                matches!(replica.raft().role(), Role::Follower | Role::Leader)
             };
             assert!(sim.run_until(LIMIT, life_counts), "seed {seed}");
         }
