--- a/src/control.rs
+++ b/src/control.rs
@@ -1,7 +1,8 @@
-//! Decisions of the control role: consensus and the agreed state. No input or output.
+//! The control role: consensus and the replicated state. Performs no I/O.
 //!
-//! [`replica::Replica`] is the whole: a member's [`consensus::Raft`] and the [`state::State`]
-//! that its log leads to. Its caller carries out writes and sends, and reports what was synced.
+//! [`replica::Replica`] combines a member's [`consensus::Raft`] with the [`state::State`] that
+//! results from applying its log. The caller performs the writes and sends, and reports completed
+//! syncs.
 
 pub mod consensus;
 pub mod log;
--- a/src/control/consensus.rs
+++ b/src/control/consensus.rs
@@ -1,9 +1,9 @@
 //! Raft-style consensus as a pure state machine.
 //!
-//! The caller feeds messages, time and reports of what was synced, and carries out what
-//! [`Raft::take_messages`] and [`Raft::take_write`] hand out. A message that promises something
-//! durable is handed out only after the write that it rests on was reported by
-//! [`Raft::synced`].
+//! The caller passes in messages, the time and reports of completed syncs, and carries out what
+//! [`Raft::take_messages`] and [`Raft::take_write`] return. A message that depends on durable data
+//! (a granted vote, an acknowledgement) is returned only after [`Raft::synced`] has reported the
+//! write that holds this data.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,13 +27,13 @@
 mod replication;
 pub mod watch;
 
-/// Times of the protocol.
+/// Timeouts of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time between two messages to a silent follower.
+    /// Interval between messages to a follower that has no entries to receive.
     pub heartbeat: Duration,
-    /// Silence after which a member stands for election: drawn between this and its double. A
-    /// leader that no quorum answered for this time steps down.
+    /// Minimum election timeout. The actual timeout is drawn at random between this and twice
+    /// this. A leader that no quorum answered for this time steps down.
     pub election: Duration,
 }
 
@@ -49,156 +49,160 @@
 /// Settings of a member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This member.
+    /// Identity of this member.
     pub me: member::Member,
-    /// Addresses of the first members, this one's among them.
+    /// Addresses of the initial members, including this one.
     pub founders: Vec<SocketAddr>,
-    /// Seed of all its chance.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Times.
+    /// Timeouts.
     pub timing: Timing,
-    /// Whether the first cluster may be founded by this member. `false`: only once
-    /// [`Raft::learn_peers`] was told the founders.
+    /// Whether this member may found the first cluster. If `false`, it may do so only after
+    /// [`Raft::learn_peers`] was given the founders.
     pub may_found: bool,
-    /// How members come and go.
+    /// How members join and leave.
     pub admission: Admission,
 }
 
-/// How members come and go.
+/// How members join and leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A member in a new life comes back by itself; all else is an operator's order.
+    /// A member with a new data folder rejoins by itself. Every other change is an operator's
+    /// order.
     Ordered,
-    /// Whoever calls joins. A voter that has gone silent leaves while others are enough, or
-    /// when one that has joined can take its place.
+    /// Any process that calls joins. A silent voter is removed if enough voters are left, or once
+    /// a learner is ready to replace it.
     Open {
-        /// Voters below which a silent one stays until there is a successor.
+        /// At or below this number of voters, a silent one stays until a replacement is ready.
         min_voters: usize,
     },
 }
 
-/// What a member is.
+/// Role of a member as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It belongs to no cluster yet.
+    /// Belongs to no cluster yet.
     Unborn,
-    /// It follows, and is not known here to be a voter for good.
+    /// Follows, and is not known here to be a voter by a committed membership.
     Learner,
-    /// It follows, and that it votes is committed: from then on the disk of another may be lost.
+    /// Follows, and is a voter by a committed membership: from then on the disk of another voter
+    /// may be lost.
     Follower,
-    /// It stands for election.
+    /// Is a candidate, or asks for pre-votes.
     Candidate,
-    /// It leads.
+    /// Leads.
     Leader,
 }
 
+/// The role, with the data that only this role needs.
 #[derive(Debug)]
 enum RoleState {
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks for pre-votes.
     PreCandidate {
         granted: BTreeSet<member::Member>,
     },
     Candidate {
         granted: BTreeSet<member::Member>,
-        /// Write that holds its vote for itself.
+        /// Number of the write that holds its vote for itself.
         own_vote: u64,
-        /// Somebody refused: this election may be lost to another.
-        is_refused: bool,
-        /// A leader asked it to take over.
+        /// A voter rejected it, so another candidate may win this election.
+        is_rejected: bool,
+        /// The leader handed over to it.
         handover: bool,
     },
-    Leader(Lead),
+    Leader(Leadership),
 }
 
 #[derive(Debug)]
-struct Lead {
+struct Leadership {
     peers: BTreeMap<member::Member, Progress>,
-    /// Its first entry. Once that is committed it may change members and serve reads.
-    first: u64,
-    /// Who shall take over, and until when proposals are refused for that.
-    heir: Option<(member::Member, Duration)>,
+    /// Index of its first entry. Once that is committed, it may change members and serve reads.
+    first_index: u64,
+    /// The member to hand over to, and until when proposals are rejected for it.
+    successor: Option<(member::Member, Duration)>,
 }
 
-/// What a leader knows of one follower.
+/// A leader's record of one follower.
 #[derive(Clone, Debug)]
 struct Progress {
-    /// Synced there and equal to the leader's log.
+    /// Last index known to be synced there and equal to the leader's log.
     matched: u64,
-    /// Next entry to send. Invariant: over `matched`.
+    /// Index of the next entry to send. Invariant: greater than `matched`.
     next: u64,
-    /// Whether it is being found out where the logs agree. Invariant: while it is, `next` only
-    /// falls and messages hold no entries.
+    /// Whether the leader is searching for the last index where the logs agree. Invariant:
+    /// meanwhile `next` only decreases and messages hold no entries.
     probing: bool,
-    /// When something was sent last.
-    sent: Duration,
-    /// Sending time of the newest message that it answered.
-    answered: Duration,
-    /// Snapshot under way: index, bytes arrived, when the last piece was sent.
+    /// When the last message was sent.
+    last_sent: Duration,
+    /// Send time of the newest message that the follower answered.
+    last_answered: Duration,
+    /// Snapshot being sent: its index, bytes received there, when the last chunk was sent.
     snapshot: Option<(u64, u64, Duration)>,
-    refusals: watch::Refusals,
+    rejections: watch::Rejections,
 }
 
-/// A snapshot on its way in.
+/// A snapshot being received.
 #[derive(Debug)]
 struct Incoming {
     tail: message::Tail,
     data: Vec<u8>,
 }
 
-/// A member of the quorum.
+/// Consensus state of one member.
 #[derive(Debug)]
 pub struct Raft {
     settings: Settings,
     rng: StdRng,
     hard: log::Hard,
     log: log::Log,
-    /// Newest snapshot. Invariant: covers all that `log` no longer holds.
+    /// Newest snapshot. Invariant: covers all entries that `log` no longer holds.
     snapshot: Option<log::Snapshot>,
-    /// Newest snapshot encoded, for sending.
+    /// Index and encoded form of the newest snapshot, cached for sending.
     encoded: Option<(u64, bytes::Bytes)>,
-    /// Memberships in the log by index. Invariant: not empty once a cluster is joined, and the
-    /// first is committed.
+    /// Memberships in the log, by index. Invariant: not empty once a cluster is joined; the first
+    /// is committed.
     members: VecDeque<(u64, member::Membership)>,
     commit: u64,
-    /// What the disk was last given of `commit`.
+    /// Commit index in the last write handed out.
     commit_written: u64,
     role: RoleState,
     leader: Option<member::Member>,
-    /// When the leader was heard last, or this member started.
-    heard: Option<Duration>,
-    /// End of the election timer.
+    /// When the leader was last heard from, or when this member started.
+    last_heard: Option<Duration>,
+    /// When the election timer expires.
     deadline: Duration,
-    /// Last index synced here. Invariant: at most the log's tail.
+    /// Last index synced here. Invariant: not beyond the log's tail.
     durable: u64,
-    /// Writes handed out: number, log tail with it, whether it holds the durable word.
+    /// Writes handed out and not synced: number, log tail after it, whether it holds the hard
+    /// state.
     writes: VecDeque<(u64, u64, bool)>,
-    /// Being gathered; handed out by `take_write`.
+    /// The next write, collected until `take_write` hands it out.
     write: log::Write,
-    /// Messages that wait for the write of that number.
-    held: VecDeque<(u64, message::Envelope)>,
-    out: Vec<message::Envelope>,
-    /// The disk takes nothing: no vote, no acknowledgement, no leadership.
+    /// Messages held back until the write of that number is synced.
+    awaiting_sync: VecDeque<(u64, message::Envelope)>,
+    outbox: Vec<message::Envelope>,
+    /// The disk accepts no writes, so this member neither votes, acknowledges nor leads.
     stalled: bool,
     incoming: Option<Incoming>,
-    /// A snapshot was installed that the state does not know yet.
+    /// A snapshot was installed and not yet collected by [`Self::take_restored`].
     restored: bool,
-    /// Replicated clock, and when it had that value.
+    /// Value of the replicated clock, and the local time when it was set.
     clock: (u64, Duration),
-    /// Others that belong to no cluster, and when they last said so.
-    unborn: BTreeMap<SocketAddr, (id::Incarnation, Duration)>,
-    hailed: Option<Duration>,
-    /// Addresses that may be members, besides those founders.
-    known: Vec<SocketAddr>,
+    /// Processes that belong to no cluster, and when they last reported that.
+    uninitialized: BTreeMap<SocketAddr, (id::Incarnation, Duration)>,
+    last_hail: Option<Duration>,
+    /// Addresses of possible members, besides the founders.
+    discovered: Vec<SocketAddr>,
     watch: watch::Watch,
 }
 
 impl Raft {
-    /// A member that goes on from what its data folder held.
+    /// A member that resumes from what its data folder holds.
     pub fn new(now: Duration, settings: Settings, saved: log::Saved) -> Self {
         let rng = StdRng::seed_from_u64(settings.seed);
-        let base = saved.snapshot.as_ref().map(|one| one.tail);
+        let base = saved.snapshot.as_ref().map(|snapshot| snapshot.tail);
         let mut log = log::Log::new(base.unwrap_or_default());
         let mut members = VecDeque::new();
         let mut clock = 0;
@@ -207,8 +211,8 @@
             clock = snapshot.clock_ms;
         }
         for entry in saved.entries {
-            if let log::Payload::Members(one) = &entry.payload {
-                members.push_back((entry.index, one.clone()));
+            if let log::Payload::Members(membership) = &entry.payload {
+                members.push_back((entry.index, membership.clone()));
             }
             clock = clock.max(entry.clock_ms);
             log.push(entry);
@@ -225,54 +229,56 @@
             members,
             role: RoleState::Follower,
             leader: None,
-            // Before its end it may have promised a leader not to vote. Where reads pass the
-            // log, nothing rests on that promise, and the next leader need not wait for it.
-            heard: (saved.hard.cluster != 0 && !is_open).then_some(now),
+            // Before the restart it may have renewed a leader's lease, so it must withhold its
+            // vote. With open admission, reads go through the log and need no lease, so an
+            // election need not wait.
+            last_heard: (saved.hard.cluster != 0 && !is_open).then_some(now),
             deadline: now,
             writes: VecDeque::new(),
             write: log::Write {
                 seq: 1,
                 ..log::Write::default()
             },
-            held: VecDeque::new(),
-            out: Vec::new(),
+            awaiting_sync: VecDeque::new(),
+            outbox: Vec::new(),
             stalled: false,
             incoming: None,
             restored: saved.snapshot.is_some(),
             snapshot: saved.snapshot,
             clock: (clock, now),
-            unborn: BTreeMap::new(),
-            hailed: None,
-            known: Vec::new(),
+            uninitialized: BTreeMap::new(),
+            last_hail: None,
+            discovered: Vec::new(),
             watch: watch::Watch::default(),
             settings,
         };
-        raft.draw_deadline(now);
+        raft.reset_election_timer(now);
         if raft.is_sole_voter() {
             raft.deadline = now;
         } else if is_open {
-            // All may have ended together: whoever still has a leader grants no pre-vote.
+            // All members may have restarted together, so the first election starts early. A
+            // member that still has a leader grants no pre-vote.
             raft.deadline = now + raft.deadline.saturating_sub(now) / 4;
         }
         raft
     }
 
-    /// This member.
+    /// Identity of this member.
     pub fn me(&self) -> member::Member {
         self.settings.me
     }
 
-    /// Its newest term.
+    /// Newest term seen.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
 
-    /// The cluster it belongs to. 0: none yet.
+    /// Identifier of the cluster it belongs to. 0: none yet.
     pub fn cluster(&self) -> u128 {
         self.hard.cluster
     }
 
-    /// Last committed index that it knows of.
+    /// Last index known here to be committed.
     pub fn commit(&self) -> u64 {
         self.commit
     }
@@ -282,22 +288,22 @@
         self.durable
     }
 
-    /// Its log.
+    /// The part of the log held in memory.
     pub fn log(&self) -> &log::Log {
         &self.log
     }
 
-    /// The leader it knows.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<member::Member> {
         self.leader
     }
 
-    /// Whether the disk takes nothing.
+    /// Whether the disk accepts no writes.
     pub fn stalled(&self) -> bool {
         self.stalled
     }
 
-    /// What it is.
+    /// Current role.
     pub fn role(&self) -> Role {
         match self.role {
             _ if self.hard.cluster == 0 => Role::Unborn,
@@ -308,8 +314,8 @@
         }
     }
 
-    /// Whether it votes by its newest members and by the newest that it knows to be committed.
-    /// Members that are not committed may be gone with their leader.
+    /// Whether it is a voter in the newest membership and in the newest one known to be
+    /// committed. An uncommitted membership may be lost together with its leader.
     fn counts_as_voter(&self) -> bool {
         let me = self.me();
         let mut newest_first = self.members.iter().rev();
@@ -317,7 +323,7 @@
         self.membership().votes(&me) && committed.is_some_and(|(_, members)| members.votes(&me))
     }
 
-    /// The members in force: the newest in the log.
+    /// The membership in force: the newest in the log, committed or not.
     pub fn membership(&self) -> &member::Membership {
         static NONE: member::Membership = member::Membership {
             voters: Vec::new(),
@@ -327,67 +333,67 @@
         self.members.back().map_or(&NONE, |(_, members)| members)
     }
 
-    /// Index of the entry from which on the members in force are. 0: it belongs to no cluster.
+    /// Index of the entry that holds the membership in force. 0: it belongs to no cluster.
     pub fn membership_index(&self) -> u64 {
         self.members.back().map_or(0, |(at, _)| *at)
     }
 
-    /// Index up to which a follower is known to hold the log. Only a leader knows.
+    /// Last index that is known to be synced on a follower. `None` unless this member leads.
     pub fn matched(&self, member: &member::Member) -> Option<u64> {
         match &self.role {
             RoleState::Leader(_) if *member == self.me() => Some(self.durable),
-            RoleState::Leader(lead) => lead.peers.get(member).map(|one| one.matched),
+            RoleState::Leader(lead) => lead.peers.get(member).map(|peer| peer.matched),
             _ => None,
         }
     }
 
-    /// Replicated clock in milliseconds, as far as known here. Never falls.
+    /// Replicated clock in milliseconds, as estimated here. Never decreases.
     pub fn clock_ms(&self, now: Duration) -> u64 {
         let since = now.saturating_sub(self.clock.1);
         self.clock.0 + since.as_millis() as u64
     }
 
-    /// Lets time pass.
+    /// Runs what is due at `now`. To be called regularly.
     pub fn tick(&mut self, now: Duration) {
         self.check_quorum(now);
         self.write_commit();
-        self.hail(now);
+        self.send_hails(now);
         if matches!(self.role, RoleState::Leader(_)) {
             self.manage_members(now);
             self.replicate(now);
         } else if now >= self.deadline {
-            self.stand(now);
+            self.start_election(now);
         }
-        self.watch(now);
+        self.update_watch(now);
     }
 
-    /// Takes a message.
+    /// Handles a message from another member.
     pub fn receive(&mut self, now: Duration, env: message::Envelope) {
         self.check_quorum(now);
         match env.body {
-            message::Body::Hail => return self.hailed_by(now, env.cluster, env.from),
-            message::Body::Unborn { echo } => return self.found_unborn(now, env.from, echo),
+            message::Body::Hail => return self.handle_hail(now, env.cluster, env.from),
+            message::Body::Unborn { echo } => return self.handle_unborn(now, env.from, echo),
             _ => {}
         }
         if env.to != self.me() {
             return;
         }
         if let message::Body::Genesis(genesis) = env.body {
-            return self.take_genesis(now, env.cluster, genesis);
+            return self.handle_genesis(now, env.cluster, genesis);
         }
         if self.same_cluster(&env) {
-            self.receive_own(now, env);
+            self.receive_from_cluster(now, env);
         }
     }
 
-    fn receive_own(&mut self, now: Duration, env: message::Envelope) {
+    fn receive_from_cluster(&mut self, now: Duration, env: message::Envelope) {
         use message::Body;
         let from = env.from;
         match &env.body {
             Body::PreVote { term, tail } => return self.answer_pre_vote(now, from, *term, *tail),
-            Body::Vote { handover, .. } if !handover && self.is_bound(now) => return,
-            _ if env.term > self.hard.term => self.follow(now, env.term),
-            // Whoever is in an older term may well grant it.
+            Body::Vote { handover, .. } if !handover && self.is_bound_by_lease(now) => return,
+            _ if env.term > self.hard.term => self.become_follower(now, env.term),
+            // A voter in an older term may grant a pre-vote too.
             Body::PreVoted { term, granted } => {
                 return self.count_pre_vote(now, from, *term, *granted);
             }
@@ -395,7 +401,7 @@
         }
         if env.term < self.hard.term {
             if let Body::Append { sent, .. } | Body::Snapshot { sent, .. } = env.body {
-                // Tells a former leader of the newer term.
+                // Informs a former leader of the newer term.
                 let (agreed, index) = (false, 0);
                 self.send(
                     from,
@@ -411,18 +417,18 @@
         match env.body {
             Body::Vote { tail, .. } => self.answer_vote(now, from, tail),
             Body::Voted { granted } => self.count_vote(now, from, granted),
-            Body::Append { .. } => self.append(now, from, env.body),
+            Body::Append { .. } => self.handle_append(now, from, env.body),
             Body::Appended {
                 agreed,
                 index,
                 sent,
-            } => self.appended(now, from, agreed, index, sent),
-            Body::Snapshot { .. } => self.take_piece(now, from, env.body),
+            } => self.handle_appended(now, from, agreed, index, sent),
+            Body::Snapshot { .. } => self.receive_chunk(now, from, env.body),
             Body::Took {
                 index,
                 offset,
                 sent,
-            } => self.took(now, from, index, offset, sent),
+            } => self.handle_took(now, from, index, offset, sent),
             Body::TakeOver => self.take_over(now),
             Body::PreVote { .. }
             | Body::PreVoted { .. }
@@ -432,23 +438,23 @@
         }
     }
 
-    /// Whether `env` is of this member's cluster. One that belongs to none joins the one whose
-    /// leader sends it a snapshot.
+    /// Whether `env` comes from this member's cluster. A member that belongs to none joins the
+    /// cluster whose leader sends it a snapshot.
     fn same_cluster(&mut self, env: &message::Envelope) -> bool {
-        let is_unborn = self.hard.cluster == 0;
-        if is_unborn && matches!(env.body, message::Body::Snapshot { .. }) {
+        let is_uninitialized = self.hard.cluster == 0;
+        if is_uninitialized && matches!(env.body, message::Body::Snapshot { .. }) {
             self.hard.cluster = env.cluster;
             self.write_hard();
         }
         env.cluster != 0 && env.cluster == self.hard.cluster
     }
 
-    /// Messages to send now.
+    /// Removes and returns the messages to send now.
     pub fn take_messages(&mut self) -> Vec<message::Envelope> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outbox)
     }
 
-    /// A snapshot that was installed and that the state has to be rebuilt from.
+    /// A newly installed snapshot from which the caller has to rebuild the state.
     pub fn take_restored(&mut self) -> Option<&log::Snapshot> {
         if !std::mem::take(&mut self.restored) {
             return None;
@@ -456,10 +462,10 @@
         self.snapshot.as_ref()
     }
 
-    /// Sends at once.
+    /// Sends without waiting for a sync.
     fn send(&mut self, to: member::Member, body: message::Body) {
         let env = self.envelope(to, body);
-        self.out.push(env);
+        self.outbox.push(env);
     }
 
     fn envelope(&self, to: member::Member, body: message::Body) -> message::Envelope {
@@ -472,7 +478,7 @@
         }
     }
 
-    fn draw_deadline(&mut self, now: Duration) {
+    fn reset_election_timer(&mut self, now: Duration) {
         let election = self.settings.timing.election;
         let extra = self.rng.random_range(0..election.as_micros() as u64);
         self.deadline = now + election + Duration::from_micros(extra);
--- a/src/control/consensus/durable.rs
+++ b/src/control/consensus/durable.rs
@@ -1,4 +1,4 @@
-//! What must be synced before something is promised, and what waits for that.
+//! Writes to the disk, and messages held back until a write is synced.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::message;
 
 impl Raft {
-    /// Takes the report that all writes up to `seq` are synced.
+    /// Reports that all writes up to `seq` are synced.
     pub fn synced(&mut self, now: Duration, seq: u64) {
         self.check_quorum(now);
         self.stalled = false;
@@ -17,31 +17,34 @@
             let (_, tail, _) = self.writes.pop_front().expect("there is a first one");
             self.durable = self.durable.max(tail);
         }
-        while self.held.front().is_some_and(|held| held.0 <= seq) {
-            let (_, env) = self.held.pop_front().expect("there is a first one");
-            self.out.push(env);
+        while self.awaiting_sync.front().is_some_and(|held| held.0 <= seq) {
+            let (_, env) = self
+                .awaiting_sync
+                .pop_front()
+                .expect("there is a first one");
+            self.outbox.push(env);
         }
         match &mut self.role {
             RoleState::Candidate {
                 granted, own_vote, ..
             } if *own_vote <= seq => {
                 granted.insert(self.settings.me);
-                self.win_if_elected(now);
+                self.become_leader_if_elected(now);
             }
             RoleState::Leader(_) => self.advance_commit(),
             _ => {}
         }
     }
 
-    /// Takes the report that the disk takes nothing now. A later [`Self::synced`] ends that.
+    /// Reports that the disk accepts no writes. A later [`Self::synced`] ends this.
     pub fn stall(&mut self, now: Duration) {
         self.stalled = true;
         if !matches!(self.role, RoleState::Follower) {
-            self.follow(now, self.hard.term);
+            self.become_follower(now, self.hard.term);
         }
     }
 
-    /// What is to be written next, if there is anything.
+    /// The next write to carry out, if any.
     pub fn take_write(&mut self) -> Option<log::Write> {
         if self.write.is_empty() {
             return None;
@@ -59,13 +62,16 @@
         Some(write)
     }
 
-    /// Keeps `state` as snapshot of the log up to `index`, and drops entries long before it.
+    /// Stores `state` as the snapshot of the log up to `index`, and drops all entries but the last
+    /// `keep` before it from memory.
     pub fn compact(&mut self, index: u64, clock_ms: u64, state: Vec<u8>, keep: u64) {
         let Some(term) = self.log.term(index) else {
             return;
         };
         let members = self.members.iter().rev().find(|(at, _)| *at <= index);
-        let members = members.map(|(_, one)| one.clone()).unwrap_or_default();
+        let members = members
+            .map(|(_, membership)| membership.clone())
+            .unwrap_or_default();
         let snapshot = log::Snapshot {
             tail: message::Tail { term, index },
             clock_ms,
@@ -87,7 +93,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Has the disk told what is committed, if no other write is under way that could say so.
+    /// Writes the commit index, unless a write is in flight: the next one will include it.
     pub(super) fn write_commit(&mut self) {
         if self.commit > self.commit_written && self.writes.is_empty() && !self.stalled {
             self.write.commit = Some(self.commit);
@@ -98,7 +104,7 @@
         self.write.hard = Some(self.hard);
     }
 
-    /// Appends an entry to the log and to the write being gathered.
+    /// Appends an entry to the log and to the next write.
     pub(super) fn push(&mut self, entry: log::Entry) {
         if let log::Payload::Members(members) = &entry.payload {
             self.members.push_back((entry.index, members.clone()));
@@ -120,7 +126,7 @@
         }
     }
 
-    /// Sends when all that was written until now is synced.
+    /// Sends once everything written so far is synced.
     pub(super) fn send_durable(&mut self, to: member::Member, body: message::Body) {
         let env = self.envelope(to, body);
         let after = if self.write.is_empty() {
@@ -129,8 +135,8 @@
             Some(self.write.seq)
         };
         match after {
-            Some(seq) => self.held.push_back((seq, env)),
-            None => self.out.push(env),
+            Some(seq) => self.awaiting_sync.push_back((seq, env)),
+            None => self.outbox.push(env),
         }
     }
 }
--- a/src/control/consensus/election.rs
+++ b/src/control/consensus/election.rs
@@ -1,10 +1,10 @@
-//! Elections: who leads, and for how long.
+//! Elections, the leader's lease and the handover of leadership.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::Lead;
+use super::Leadership;
 use super::Progress;
 use super::Raft;
 use super::RoleState;
@@ -13,57 +13,57 @@
 use super::message;
 
 impl Raft {
-    /// Whether a leader was heard so lately that this member grants no vote: the leader's
-    /// lease rests on that.
-    pub(super) fn is_bound(&self, now: Duration) -> bool {
+    /// Whether a leader was heard from within the election timeout, so that this member grants no
+    /// vote. The leader's lease depends on this.
+    pub(super) fn is_bound_by_lease(&self, now: Duration) -> bool {
         if self.is_sole_voter() {
             return false;
         }
         match self.role {
             RoleState::Leader(_) => true,
             _ => self
-                .heard
+                .last_heard
                 .is_some_and(|heard| now < heard + self.settings.timing.election),
         }
     }
 
-    /// Follows in `term`, no leader known.
-    pub(super) fn follow(&mut self, now: Duration, term: u64) {
+    /// Becomes a follower in `term`, with no known leader.
+    pub(super) fn become_follower(&mut self, now: Duration, term: u64) {
         if term > self.hard.term {
             self.hard.term = term;
             self.hard.vote = None;
             self.write_hard();
         }
         if matches!(self.role, RoleState::Leader(_)) {
-            // What it promised as leader binds it as long as it would bind a follower.
-            self.heard = Some(now);
+            // A former leader withholds its vote for one election timeout, as a follower does.
+            self.last_heard = Some(now);
             self.clock = (self.clock_ms(now), now);
         }
         self.role = RoleState::Follower;
         self.leader = None;
-        self.draw_deadline(now);
+        self.reset_election_timer(now);
     }
 
-    /// The election timer ended: asks whether it would be elected.
+    /// Handles an expired election timer: asks for pre-votes.
     ///
-    /// A vote may take longer to sync than the timer, and in the next term it would be void. So
-    /// whoever has one under way does not begin the next term: a candidate asks again until
-    /// somebody refuses, a voter waits for its sync.
-    pub(super) fn stand(&mut self, now: Duration) {
-        if matches!(self.role, RoleState::Follower) && self.is_voting() {
+    /// Syncing a vote may take longer than the election timeout, and the vote would be void in the
+    /// next term. So no new term begins while a vote is pending: a candidate repeats its requests
+    /// until one is rejected, and a voter waits for the sync of its vote.
+    pub(super) fn start_election(&mut self, now: Duration) {
+        if matches!(self.role, RoleState::Follower) && self.has_unsynced_vote() {
             return;
         }
-        self.draw_deadline(now);
+        self.reset_election_timer(now);
         if self.stalled || !self.membership().votes(&self.me()) {
             return;
         }
         if let RoleState::Candidate {
-            is_refused: false,
+            is_rejected: false,
             handover,
             ..
         } = self.role
         {
-            return self.ask_votes(handover);
+            return self.request_votes(handover);
         }
         self.leader = None;
         if self.is_sole_voter() {
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Whether it has voted in its term and the vote is not synced yet.
-    fn is_voting(&self) -> bool {
+    /// Whether it voted in the current term and the vote is not synced yet.
+    fn has_unsynced_vote(&self) -> bool {
         self.hard.vote.is_some() && !self.hard_is_synced()
     }
 
-    /// Stands for election in the next term.
+    /// Becomes a candidate in the next term.
     fn campaign(&mut self, now: Duration, handover: bool) {
         self.hard.term += 1;
         self.hard.vote = Some(self.me());
@@ -92,14 +92,14 @@
         self.role = RoleState::Candidate {
             granted: BTreeSet::new(),
             own_vote: self.write.seq,
-            is_refused: false,
+            is_rejected: false,
             handover,
         };
-        self.draw_deadline(now);
-        self.ask_votes(handover);
+        self.reset_election_timer(now);
+        self.request_votes(handover);
     }
 
-    fn ask_votes(&mut self, handover: bool) {
+    fn request_votes(&mut self, handover: bool) {
         let tail = self.log.tail();
         for to in self.other_voters() {
             self.send_durable(to, message::Body::Vote { tail, handover });
@@ -108,7 +108,10 @@
 
     fn other_voters(&self) -> Vec<member::Member> {
         let voters = self.membership().voters.iter();
-        voters.copied().filter(|one| *one != self.me()).collect()
+        voters
+            .copied()
+            .filter(|member| *member != self.me())
+            .collect()
     }
 
     pub(super) fn answer_pre_vote(
@@ -118,13 +121,13 @@
         term: u64,
         tail: message::Tail,
     ) {
-        let free = !self.is_bound(now) && !self.stalled && !self.is_voting();
+        let free = !self.is_bound_by_lease(now) && !self.stalled && !self.has_unsynced_vote();
         let granted = free && term > self.hard.term && tail >= self.log.tail();
-        let is_asking = matches!(self.role, RoleState::PreCandidate { .. });
-        if granted && is_asking && (tail, from) > (self.log.tail(), self.me()) {
-            // Of two that ask at once one yields. If both stood, each would vote for itself, and
-            // with only two of three there nobody would lead for another timeout: 2 of 4,000
-            // drawn series of losses took over 4.8 s so.
+        let is_pre_candidate = matches!(self.role, RoleState::PreCandidate { .. });
+        if granted && is_pre_candidate && (tail, from) > (self.log.tail(), self.me()) {
+            // Of two simultaneous pre-candidates one yields. Otherwise each would vote for itself,
+            // and with two of three members up there would be no leader for another timeout. In 2
+            // of 4,000 random series of losses, recovery took over 4.8 s because of this.
             self.role = RoleState::Follower;
         }
         self.send(from, message::Body::PreVoted { term, granted });
@@ -134,7 +137,7 @@
         let free = self.hard.vote.is_none_or(|vote| vote == from);
         let granted = free && !self.stalled && tail >= self.log.tail();
         if granted {
-            self.draw_deadline(now);
+            self.reset_election_timer(now);
         }
         if granted && self.hard.vote != Some(from) {
             self.hard.vote = Some(from);
@@ -167,51 +170,54 @@
     pub(super) fn count_vote(&mut self, now: Duration, from: member::Member, granted: bool) {
         let RoleState::Candidate {
             granted: all,
-            is_refused,
+            is_rejected,
             ..
         } = &mut self.role
         else {
             return;
         };
         if !granted {
-            *is_refused = true;
+            *is_rejected = true;
             return;
         }
         all.insert(from);
-        self.win_if_elected(now);
+        self.become_leader_if_elected(now);
     }
 
     fn is_quorum(&self, granted: &BTreeSet<member::Member>) -> bool {
         let members = self.membership();
-        let count = granted.iter().filter(|one| members.votes(one)).count();
+        let count = granted
+            .iter()
+            .filter(|member| members.votes(member))
+            .count();
         count >= members.quorum()
     }
 
-    pub(super) fn win_if_elected(&mut self, now: Duration) {
+    pub(super) fn become_leader_if_elected(&mut self, now: Duration) {
         let RoleState::Candidate { granted, .. } = &self.role else {
             return;
         };
-        // Its own vote counts only once it is synced.
+        // Its own vote counts only after its sync.
         if granted.contains(&self.me()) && self.is_quorum(granted) {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: Duration) {
+    fn become_leader(&mut self, now: Duration) {
         self.clock = (self.clock_ms(now).max(self.log.clock_ms()), now);
         self.leader = Some(self.me());
-        self.role = RoleState::Leader(Lead {
+        self.role = RoleState::Leader(Leadership {
             peers: BTreeMap::new(),
-            first: self.log.tail().index + 1,
-            heir: None,
+            first_index: self.log.tail().index + 1,
+            successor: None,
         });
-        self.follow_members(now);
+        self.update_peers(now);
         self.propose_payload(now, log::Payload::Noop);
         self.replicate(now);
     }
 
-    /// Brings the followers known to the leader in line with the members in force.
-    pub(super) fn follow_members(&mut self, now: Duration) {
+    /// Adds and removes followers' records according to the membership in force.
+    pub(super) fn update_peers(&mut self, now: Duration) {
         let me = self.me();
         let tail = self.log.tail().index;
         let members: Vec<member::Member> = self.membership().all().copied().collect();
@@ -219,10 +225,10 @@
         let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
-        lead.peers.retain(|one, _| members.contains(one));
+        lead.peers.retain(|member, _| members.contains(member));
         for member in members {
             if member != me {
-                // A learner may be empty: it begins with the snapshot.
+                // A learner may have an empty log, so it starts with the snapshot.
                 let tail = if learners.contains(&member) { 0 } else { tail };
                 lead.peers
                     .entry(member)
@@ -231,56 +237,57 @@
         }
     }
 
-    /// A leader that no quorum answered for the election timeout steps down.
+    /// Steps down as leader if no quorum answered within the election timeout.
     pub(super) fn check_quorum(&mut self, now: Duration) {
-        let Some(answered) = self.quorum_answered(now) else {
+        let Some(answered) = self.quorum_last_answered(now) else {
             return;
         };
         if now >= answered + self.settings.timing.election {
-            self.follow(now, self.hard.term);
+            self.become_follower(now, self.hard.term);
         }
     }
 
-    /// When a quorum was last known to follow this leader. `None`: it does not lead.
-    fn quorum_answered(&self, now: Duration) -> Option<Duration> {
+    /// Latest time at which a quorum is known to have followed this leader. `None` unless it
+    /// leads.
+    fn quorum_last_answered(&self, now: Duration) -> Option<Duration> {
         let RoleState::Leader(lead) = &self.role else {
             return None;
         };
         let me = self.me();
         self.membership()
-            .quorum_value(|one| match lead.peers.get(one) {
-                _ if *one == me => now,
-                Some(peer) => peer.answered,
+            .quorum_value(|member| match lead.peers.get(member) {
+                _ if *member == me => now,
+                Some(peer) => peer.last_answered,
                 None => Duration::ZERO,
             })
     }
 
-    /// Whether this member leads, holds its lease and knows all that was committed before: what
-    /// it has applied is then the newest. The lease ends an eighth before a follower may vote,
-    /// so clocks may run apart by that much.
+    /// Whether this member leads, holds its lease and has committed an entry of its own term. The
+    /// state that it has applied is then current. The lease ends an eighth of the election timeout
+    /// before a follower may vote, which allows for clock drift of that much.
     pub fn leads(&self, now: Duration) -> bool {
         let RoleState::Leader(lead) = &self.role else {
             return false;
         };
         let election = self.settings.timing.election;
         let lease = election * 7 / 8;
-        let answered = self.quorum_answered(now).unwrap_or_default();
-        lead.heir.is_none() && self.commit >= lead.first && now < answered + lease
+        let answered = self.quorum_last_answered(now).unwrap_or_default();
+        lead.successor.is_none() && self.commit >= lead.first_index && now < answered + lease
     }
 
-    /// Gives the leadership to the follower that is furthest. Proposals are refused meanwhile.
-    /// `false`: there is nobody to give it to.
+    /// Hands leadership over to the follower with the longest matching log. Proposals are rejected
+    /// meanwhile. `false` if there is no other voter, or this member does not lead.
     pub fn hand_over(&mut self, now: Duration) -> bool {
         let voters = self.other_voters();
         let until = now + self.settings.timing.election * 2;
         let RoleState::Leader(lead) = &mut self.role else {
             return false;
         };
-        let matched = |one: &member::Member| lead.peers.get(one).map(|peer| peer.matched);
-        let Some(heir) = voters.into_iter().max_by_key(matched) else {
+        let matched = |member: &member::Member| lead.peers.get(member).map(|peer| peer.matched);
+        let Some(successor) = voters.into_iter().max_by_key(matched) else {
             return false;
         };
-        lead.heir = Some((heir, until));
+        lead.successor = Some((successor, until));
         self.hand_over_if_ready(now);
         true
     }
@@ -290,13 +297,17 @@
         let RoleState::Leader(lead) = &mut self.role else {
             return;
         };
-        let Some((heir, until)) = lead.heir else {
+        let Some((successor, until)) = lead.successor else {
             return;
         };
         if now >= until {
-            lead.heir = None;
-        } else if lead.peers.get(&heir).is_some_and(|one| one.matched >= tail) {
-            self.send(heir, message::Body::TakeOver);
+            lead.successor = None;
+        } else if lead
+            .peers
+            .get(&successor)
+            .is_some_and(|peer| peer.matched >= tail)
+        {
+            self.send(successor, message::Body::TakeOver);
         }
     }
 
--- a/src/control/consensus/founding.rs
+++ b/src/control/consensus/founding.rs
@@ -1,8 +1,8 @@
-//! How a cluster comes to be, and how a member without one finds it.
+//! Founding of a cluster, and discovery of an existing one.
 //!
 //! A member with an empty data folder cannot tell a first start from a lost disk. So the first
-//! cluster is founded only when all listed addresses say, in answer to this member's present
-//! life, that they belong to none. Later, an empty member waits until the log admits it.
+//! cluster is founded only when all founders report, in answer to this member's current
+//! incarnation, that they belong to none. Later, an empty member waits until the log admits it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,40 +16,41 @@
 use super::message;
 use crate::wire::id;
 
-/// Time between two hails.
+/// Interval between two `Hail` messages to the same address.
 const HAIL_PERIOD: Duration = Duration::from_millis(200);
 
-/// How long the word of another that belongs to no cluster holds.
-const UNBORN_HOLDS: Duration = Duration::from_secs(2);
+/// How long a report that a process belongs to no cluster stays valid.
+const UNINITIALIZED_TTL: Duration = Duration::from_secs(2);
 
-/// Largest state, in bytes, that a member other than the leader sends to one that has not yet
-/// heard of its cluster.
-const MAX_TOLD: usize = 4 << 20;
+/// Largest state, in bytes, that a member other than the leader sends to a member without a
+/// cluster. `Genesis` is a single message.
+const MAX_GENESIS_BYTES: usize = 4 << 20;
 
-/// End of the log of a cluster just founded.
+/// Log tail of a newly founded cluster.
 const GENESIS: message::Tail = message::Tail { term: 1, index: 1 };
 
 impl Raft {
-    /// Calls the others while this member belongs to no cluster or hears no leader.
-    pub(super) fn hail(&mut self, now: Duration) {
-        let is_unborn = self.hard.cluster == 0;
+    /// Sends `Hail` to the others while this member belongs to no cluster or has no contact with a
+    /// leader.
+    pub(super) fn send_hails(&mut self, now: Duration) {
+        let is_uninitialized = self.hard.cluster == 0;
         let silence = self.settings.timing.election * 4;
-        let is_lost = !matches!(self.role, RoleState::Leader(_))
-            && self.heard.is_none_or(|heard| now > heard + silence);
-        if !is_unborn && !is_lost {
+        let has_lost_leader = !matches!(self.role, RoleState::Leader(_))
+            && self.last_heard.is_none_or(|heard| now > heard + silence);
+        if !is_uninitialized && !has_lost_leader {
             return;
         }
-        if is_unborn {
-            self.found_if_all_unborn(now);
+        if is_uninitialized {
+            self.found_if_all_uninitialized(now);
         }
-        let due = self.hailed.is_none_or(|at| now >= at + HAIL_PERIOD);
+        let due = self.last_hail.is_none_or(|at| now >= at + HAIL_PERIOD);
         if !due {
             return;
         }
-        self.hailed = Some(now);
+        self.last_hail = Some(now);
         let mut addrs = self.settings.founders.clone();
-        addrs.extend(&self.known);
-        addrs.extend(self.membership().all().map(|one| one.addr));
+        addrs.extend(&self.discovered);
+        addrs.extend(self.membership().all().map(|member| member.addr));
         addrs.sort_unstable();
         addrs.dedup();
         for addr in addrs {
@@ -59,10 +60,10 @@
         }
     }
 
-    /// Learns addresses to call while it knows no leader, and, at the first start of all, who
-    /// founds the cluster.
+    /// Sets the addresses to hail while no leader is known and, before the first cluster is
+    /// founded, its founders.
     pub fn learn_peers(&mut self, known: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
-        self.known = known;
+        self.discovered = known;
         if let Some(founders) = founders
             && !self.settings.may_found
         {
@@ -71,61 +72,62 @@
         }
     }
 
-    pub(super) fn hailed_by(&mut self, now: Duration, cluster: u128, from: member::Member) {
-        self.note_call(now, from);
+    pub(super) fn handle_hail(&mut self, now: Duration, cluster: u128, from: member::Member) {
+        self.record_call(now, from);
         if self.hard.cluster == 0 {
             if cluster == 0 {
                 let echo = from.life;
                 self.send(from, message::Body::Unborn { echo });
             }
-        } else if cluster == 0 && self.membership().all().any(|one| *one == from) {
-            self.enlighten(now, from);
+        } else if cluster == 0 && self.membership().all().any(|member| *member == from) {
+            self.announce_cluster(now, from);
         } else if cluster == 0 || cluster == self.hard.cluster {
             self.admit(now, from, cluster == 0);
         }
     }
 
-    /// A member has not yet heard of its cluster.
-    fn enlighten(&mut self, now: Duration, member: member::Member) {
+    /// Informs a member that is in the membership and does not know its cluster yet.
+    fn announce_cluster(&mut self, now: Duration, member: member::Member) {
         if let RoleState::Leader(lead) = &mut self.role {
             if let Some(peer) = lead.peers.get_mut(&member) {
-                // What it lacks begins with the snapshot.
+                // It has no log, so it starts with the snapshot.
                 peer.next = peer.matched + 1;
             }
             return self.replicate(now);
         }
-        // Any member may tell, since the leader may be lost: what a snapshot says is committed.
+        // Any member may do this, since the leader may be lost: a snapshot is always committed.
         if let Some(snapshot) = &self.snapshot
-            && snapshot.state.len() <= MAX_TOLD
+            && snapshot.state.len() <= MAX_GENESIS_BYTES
         {
             let snapshot = snapshot.clone();
             self.send_durable(member, message::Body::Genesis(snapshot));
         }
     }
 
-    /// Joins the cluster that was founded with this member, or admitted it as a voter.
-    pub(super) fn take_genesis(&mut self, now: Duration, cluster: u128, genesis: log::Snapshot) {
-        let is_of_it = genesis.members.votes(&self.me());
-        if self.hard.cluster == 0 && cluster != 0 && is_of_it {
-            self.begin(cluster, genesis);
-            self.draw_deadline(now);
+    /// Joins the cluster that has this member as a voter.
+    pub(super) fn handle_genesis(&mut self, now: Duration, cluster: u128, genesis: log::Snapshot) {
+        let is_voter = genesis.members.votes(&self.me());
+        if self.hard.cluster == 0 && cluster != 0 && is_voter {
+            self.start_log(cluster, genesis);
+            self.reset_election_timer(now);
         }
     }
 
-    pub(super) fn found_unborn(
+    pub(super) fn handle_unborn(
         &mut self,
         now: Duration,
         from: member::Member,
         echo: id::Incarnation,
     ) {
         if self.hard.cluster == 0 && echo == self.me().life {
-            self.unborn.insert(from.addr, (from.life, now));
-            self.found_if_all_unborn(now);
+            self.uninitialized.insert(from.addr, (from.life, now));
+            self.found_if_all_uninitialized(now);
         }
     }
 
-    /// Founds the cluster if this member is the first founders and all others are without one.
-    fn found_if_all_unborn(&mut self, now: Duration) {
+    /// Founds the cluster if this member has the lowest address of the founders and all others
+    /// belong to none.
+    fn found_if_all_uninitialized(&mut self, now: Duration) {
         let me = self.me();
         if !self.settings.may_found {
             return;
@@ -138,9 +140,9 @@
         }
         let mut voters = Vec::new();
         for addr in founders {
-            let life = match self.unborn.get(&addr) {
+            let life = match self.uninitialized.get(&addr) {
                 _ if addr == me.addr => me.life,
-                Some((life, at)) if now <= *at + UNBORN_HOLDS => *life,
+                Some((life, at)) if now <= *at + UNINITIALIZED_TTL => *life,
                 _ => return,
             };
             voters.push(member::Member { addr, life });
@@ -160,7 +162,7 @@
             members,
             state: Vec::new(),
         };
-        self.begin(cluster, genesis.clone());
+        self.start_log(cluster, genesis.clone());
         for member in genesis.members.voters.clone() {
             if member != self.me() {
                 self.send_durable(member, message::Body::Genesis(genesis.clone()));
@@ -169,8 +171,8 @@
         self.deadline = now;
     }
 
-    /// Begins its log with a snapshot of a cluster.
-    fn begin(&mut self, cluster: u128, genesis: log::Snapshot) {
+    /// Starts the log from a snapshot of a cluster.
+    fn start_log(&mut self, cluster: u128, genesis: log::Snapshot) {
         self.hard = log::Hard {
             cluster,
             term: genesis.tail.term,
--- a/src/control/consensus/replication.rs
+++ b/src/control/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: entries from the leader to its followers, and what is committed.
+//! Replication of entries and snapshots from the leader, and the commit index.
 
 use std::time::Duration;
 
@@ -12,28 +12,28 @@
 use super::member;
 use super::message::Body;
 use super::message::Tail;
-use super::watch::Refusals;
+use super::watch::Rejections;
 
-/// Entries sent to a follower and not yet acknowledged.
-const MAX_IN_FLIGHT: u64 = 8_192;
+/// Limit of entries sent to a follower and not yet acknowledged.
+const MAX_IN_FLIGHT_ENTRIES: u64 = 8_192;
 
-/// Entries in one message.
-const MAX_BATCH: usize = 1_024;
+/// Limit of entries in one message.
+const MAX_BATCH_ENTRIES: usize = 1_024;
 
-/// Bytes of entries in one message, if it holds more than one entry.
+/// Limit of the bytes of entries in one message, if it holds more than one entry.
 const MAX_BATCH_BYTES: usize = 1 << 20;
 
-/// Bytes in one piece of a snapshot.
-const PIECE: usize = 1 << 20;
+/// Size of a snapshot chunk.
+const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
 
-/// Largest snapshot taken in.
-const MAX_SNAPSHOT: u64 = 512 << 20;
+/// Largest snapshot that a follower accepts.
+const MAX_SNAPSHOT_BYTES: u64 = 512 << 20;
 
-/// Entries in the leader's log that are not committed; above, proposals are refused.
-const MAX_UNCOMMITTED: u64 = 16_384;
+/// Number of uncommitted entries from which on a leader rejects proposals.
+const MAX_UNCOMMITTED_ENTRIES: u64 = 16_384;
 
-/// Writes handed out and not synced; above, a follower takes nothing more.
-const MAX_WRITES: usize = 64;
+/// Number of unsynced writes from which on a follower accepts no more entries.
+const MAX_UNSYNCED_WRITES: usize = 64;
 
 impl Progress {
     pub(super) fn new(now: Duration, tail: u64) -> Self {
@@ -41,54 +41,55 @@
             matched: 0,
             next: tail + 1,
             probing: false,
-            sent: Duration::ZERO,
-            answered: now,
+            last_sent: Duration::ZERO,
+            last_answered: now,
             snapshot: None,
-            refusals: Refusals::default(),
+            rejections: Rejections::default(),
         }
     }
 
-    /// All up to `index` is synced there.
-    fn agreed(&mut self, index: u64) {
+    /// The follower has synced all entries up to `index`.
+    fn record_agreed(&mut self, index: u64) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
-        // An answer to an older message says nothing of what comes just before `next`.
+        // An answer to an older message does not confirm the entry just before `next`.
         if self.next == self.matched + 1 {
             self.probing = false;
         }
     }
 
-    /// It refused a message; the logs may agree up to `index`.
+    /// The follower rejected an append; the logs may agree up to `index`.
     ///
-    /// Which message it was is not asked: while it is probed `next` falls and never rises, so
-    /// late, doubled and reordered refusals change nothing and each new one brings it nearer.
-    /// Told apart by their time of sending they must not be: where clocks are finer than the time
-    /// on the wire, every second one seems too old, and a former leader never agrees.
-    fn refused(&mut self, index: u64) {
-        self.refusals.count += 1;
-        self.refusals.may_agree = Some(index);
+    /// It does not matter which message was rejected: while probing, `next` only decreases, so
+    /// late, duplicate and reordered rejections have no effect and each new one makes progress.
+    /// Rejections must not be told apart by send time: clocks are finer than the time on the wire,
+    /// so every second rejection would seem outdated and a former leader would never agree.
+    fn record_rejected(&mut self, index: u64) {
+        self.rejections.count += 1;
+        self.rejections.may_agree = Some(index);
         let next = self.next.min(index + 1).max(self.matched + 1);
         if self.probing && next == self.next {
-            self.refusals.ignored += 1;
+            self.rejections.ignored += 1;
             return;
         }
         self.next = next;
         self.probing = true;
-        // The next message goes at once.
-        self.sent = Duration::ZERO;
+        // Makes the next message due at once.
+        self.last_sent = Duration::ZERO;
     }
 }
 
 impl Raft {
-    /// Appends a command, if this member leads and has room: its index. It is done when that
-    /// index is committed in this term.
+    /// Appends a payload to the log and returns its index. `None` if this member does not lead or
+    /// cannot accept proposals now. The proposal succeeded once this index is committed in the
+    /// current term.
     pub fn propose(&mut self, now: Duration, payload: log::Payload) -> Option<u64> {
         self.check_quorum(now);
         let RoleState::Leader(lead) = &self.role else {
             return None;
         };
         let uncommitted = self.log.tail().index - self.commit;
-        if lead.heir.is_some() || self.stalled || uncommitted >= MAX_UNCOMMITTED {
+        if lead.successor.is_some() || self.stalled || uncommitted >= MAX_UNCOMMITTED_ENTRIES {
             return None;
         }
         self.propose_payload(now, payload)
@@ -107,12 +108,12 @@
             payload,
         });
         if is_members {
-            self.follow_members(now);
+            self.update_peers(now);
         }
         Some(index)
     }
 
-    /// Sends each follower what it lacks, and a heartbeat where nothing was sent lately.
+    /// Sends each follower the entries it lacks, or a heartbeat if one is due.
     pub fn replicate(&mut self, now: Duration) {
         let RoleState::Leader(lead) = &self.role else {
             return;
@@ -136,16 +137,17 @@
                 return;
             };
             if peer.next <= base {
-                return self.send_piece(now, to);
+                return self.send_chunk(now, to);
             }
             peer.snapshot = None;
             let in_flight = peer.next - 1 - peer.matched;
-            let room = !peer.probing && peer.next <= tail && in_flight < MAX_IN_FLIGHT;
-            let due = now >= peer.sent + heartbeat;
-            if !room && !due {
+            let has_entries_to_send =
+                !peer.probing && peer.next <= tail && in_flight < MAX_IN_FLIGHT_ENTRIES;
+            let due = now >= peer.last_sent + heartbeat;
+            if !has_entries_to_send && !due {
                 return;
             }
-            self.send_append(now, to, room);
+            self.send_append(now, to, has_entries_to_send);
         }
     }
 
@@ -159,12 +161,12 @@
         let index = peer.next - 1;
         let term = self.log.term(index).expect("the log holds what is next");
         let entries = if with_entries {
-            self.log.after(index, MAX_BATCH, MAX_BATCH_BYTES)
+            self.log.after(index, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
         } else {
             Vec::new()
         };
         peer.next += entries.len() as u64;
-        peer.sent = now;
+        peer.last_sent = now;
         let body = Body::Append {
             prev: Tail { term, index },
             entries,
@@ -175,8 +177,8 @@
         self.send(to, body);
     }
 
-    /// A follower takes the leader's entries.
-    pub(super) fn append(&mut self, now: Duration, from: member::Member, body: Body) {
+    /// Follower: handles the leader's entries.
+    pub(super) fn handle_append(&mut self, now: Duration, from: member::Member, body: Body) {
         let Body::Append {
             prev,
             entries,
@@ -187,13 +189,13 @@
         else {
             return;
         };
-        self.hear(now, from, clock_ms);
-        if self.stalled || self.writes.len() >= MAX_WRITES {
+        self.observe_leader(now, from, clock_ms);
+        if self.stalled || self.writes.len() >= MAX_UNSYNCED_WRITES {
             return;
         }
         let known = prev.index <= self.commit || self.log.term(prev.index) == Some(prev.term);
         if !known {
-            let index = self.may_agree(prev.index);
+            let index = self.last_possible_match(prev.index);
             let agreed = false;
             return self.send(
                 from,
@@ -207,7 +209,7 @@
         let matched = prev.index + entries.len() as u64;
         let is_heartbeat = entries.is_empty();
         for entry in entries {
-            self.take_entry(entry);
+            self.store_entry(entry);
         }
         self.commit = self.commit.max(commit.min(matched));
         if is_heartbeat && self.hard_is_synced() {
@@ -234,38 +236,38 @@
         );
     }
 
-    /// Takes the leader's word for being there.
-    fn hear(&mut self, now: Duration, from: member::Member, clock_ms: u64) {
+    /// Records contact with the leader.
+    fn observe_leader(&mut self, now: Duration, from: member::Member, clock_ms: u64) {
         if !matches!(self.role, RoleState::Follower) {
-            self.follow(now, self.hard.term);
+            self.become_follower(now, self.hard.term);
         }
         self.leader = Some(from);
-        self.heard = Some(now);
+        self.last_heard = Some(now);
         self.clock = (self.clock_ms(now).max(clock_ms), now);
-        self.draw_deadline(now);
+        self.reset_election_timer(now);
     }
 
-    /// The last index below `refused` at which a leader's log may equal this one: before all
-    /// entries of the term that differs there, so that a long tail takes one refusal a term.
-    fn may_agree(&self, refused: u64) -> u64 {
+    /// The last index below `rejected` where the leader's log may agree with this one. Skips all
+    /// entries of the conflicting term, so a long tail takes one rejection for each term.
+    fn last_possible_match(&self, rejected: u64) -> u64 {
         let tail = self.log.tail().index;
-        if refused > tail {
+        if rejected > tail {
             return tail;
         }
-        let term = self.log.term(refused);
-        let mut index = refused - 1;
+        let term = self.log.term(rejected);
+        let mut index = rejected - 1;
         while index > self.commit && self.log.term(index) == term {
             index -= 1;
         }
         index
     }
 
-    /// Whether its newest term and vote are synced.
+    /// Whether the newest term and vote are synced.
     pub(super) fn hard_is_synced(&self) -> bool {
         self.write.hard.is_none() && !self.writes.iter().any(|(_, _, hard)| *hard)
     }
 
-    fn take_entry(&mut self, entry: log::Entry) {
+    fn store_entry(&mut self, entry: log::Entry) {
         if entry.index <= self.commit || self.log.term(entry.index) == Some(entry.term) {
             return;
         }
@@ -275,8 +277,8 @@
         self.push(entry);
     }
 
-    /// The leader takes a follower's answer.
-    pub(super) fn appended(
+    /// Leader: handles a follower's answer to an append.
+    pub(super) fn handle_appended(
         &mut self,
         now: Duration,
         from: member::Member,
@@ -291,18 +293,18 @@
         let Some(peer) = lead.peers.get_mut(&from) else {
             return;
         };
-        peer.answered = peer.answered.max(sent);
+        peer.last_answered = peer.last_answered.max(sent);
         if agreed {
-            peer.agreed(index);
+            peer.record_agreed(index);
             self.advance_commit();
         } else {
-            peer.refused(index);
+            peer.record_rejected(index);
         }
         self.replicate_to(now, from);
         self.hand_over_if_ready(now);
     }
 
-    /// Commits what a quorum has synced, if it is of this term.
+    /// Advances the commit index to what a quorum has synced, if that entry is of this term.
     pub(super) fn advance_commit(&mut self) {
         let RoleState::Leader(lead) = &self.role else {
             return;
@@ -310,8 +312,8 @@
         let me = self.me();
         let reached = self
             .membership()
-            .quorum_value(|one| match lead.peers.get(one) {
-                _ if *one == me => self.durable,
+            .quorum_value(|member| match lead.peers.get(member) {
+                _ if *member == me => self.durable,
                 Some(peer) => peer.matched,
                 None => 0,
             });
@@ -323,8 +325,9 @@
         }
     }
 
-    /// Sends the next piece of the snapshot, or the last one again after a while.
-    fn send_piece(&mut self, now: Duration, to: member::Member) {
+    /// Sends the next chunk of the snapshot, or the last one again if it was not acknowledged in
+    /// time.
+    fn send_chunk(&mut self, now: Duration, to: member::Member) {
         let retry = self.settings.timing.heartbeat * 5;
         let Some((tail, data)) = self.encoded_snapshot() else {
             return;
@@ -341,9 +344,9 @@
             _ => 0,
         };
         peer.snapshot = Some((tail.index, offset, now));
-        peer.sent = now;
+        peer.last_sent = now;
         let start = offset as usize;
-        let end = data.len().min(start + PIECE);
+        let end = data.len().min(start + SNAPSHOT_CHUNK_BYTES);
         let body = Body::Snapshot {
             tail,
             total: data.len() as u64,
@@ -369,8 +372,8 @@
         Some((tail, data))
     }
 
-    /// A follower takes a piece of a snapshot.
-    pub(super) fn take_piece(&mut self, now: Duration, from: member::Member, body: Body) {
+    /// Follower: handles a chunk of a snapshot.
+    pub(super) fn receive_chunk(&mut self, now: Duration, from: member::Member, body: Body) {
         let Body::Snapshot {
             tail,
             total,
@@ -381,8 +384,8 @@
         else {
             return;
         };
-        self.hear(now, from, 0);
-        if self.stalled || self.writes.len() >= MAX_WRITES || total > MAX_SNAPSHOT {
+        self.observe_leader(now, from, 0);
+        if self.stalled || self.writes.len() >= MAX_UNSYNCED_WRITES || total > MAX_SNAPSHOT_BYTES {
             return;
         }
         if tail.index <= self.commit {
@@ -420,7 +423,7 @@
         let data = std::mem::take(&mut incoming.data);
         self.incoming = None;
         if let Some(snapshot) = decode(&data) {
-            self.install(snapshot);
+            self.install_snapshot(snapshot);
             let (agreed, index) = (true, tail.index);
             self.send_durable(
                 from,
@@ -433,7 +436,7 @@
         }
     }
 
-    fn install(&mut self, snapshot: log::Snapshot) {
+    fn install_snapshot(&mut self, snapshot: log::Snapshot) {
         let tail = snapshot.tail;
         if self.log.term(tail.index) == Some(tail.term) {
             self.log.compact(tail.index);
@@ -444,7 +447,7 @@
         }
         let members = snapshot.members.clone();
         self.members.push_front((tail.index, members));
-        // Nothing counts as synced here until the snapshot itself is.
+        // No entry counts as synced here until the snapshot itself is.
         self.durable = 0;
         for write in &mut self.writes {
             write.1 = 0;
@@ -455,8 +458,8 @@
         self.restored = true;
     }
 
-    /// The leader hears how far a snapshot has arrived.
-    pub(super) fn took(
+    /// Leader: handles a follower's acknowledgement of a snapshot chunk.
+    pub(super) fn handle_took(
         &mut self,
         now: Duration,
         from: member::Member,
@@ -470,7 +473,7 @@
         let Some(peer) = lead.peers.get_mut(&from) else {
             return;
         };
-        peer.answered = peer.answered.max(Duration::from_micros(sent));
+        peer.last_answered = peer.last_answered.max(Duration::from_micros(sent));
         if let Some((under_way, arrived, at)) = &mut peer.snapshot
             && *under_way == index
             && *arrived != offset
@@ -483,7 +486,7 @@
 }
 
 fn decode(data: &[u8]) -> Option<log::Snapshot> {
-    let conf = bincode::config::standard().with_limit::<{ MAX_SNAPSHOT as usize }>();
+    let conf = bincode::config::standard().with_limit::<{ MAX_SNAPSHOT_BYTES as usize }>();
     let (snapshot, used) = bincode::serde::decode_from_slice(data, conf).ok()?;
     (used == data.len()).then_some(snapshot)
 }
--- a/src/control/consensus/watch.rs
+++ b/src/control/consensus/watch.rs
@@ -1,5 +1,5 @@
-//! What operators see of replication: since when nothing is committed, how far each follower
-//! is and what it refused, and who waits to be admitted.
+//! Diagnostics of replication for operators: stalled commits, each follower's progress and
+//! rejections, and processes that wait for admission.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 use super::RoleState;
 use super::member;
 
-/// Silence after which a caller no longer waits: five of its calls.
-const CALLS_HOLD: Duration = Duration::from_secs(1);
+/// Silence after which a caller is no longer listed: five call intervals.
+const CALLER_TTL: Duration = Duration::from_secs(1);
 
-/// Most callers remembered.
+/// Upper bound of callers listed.
 const MAX_CALLERS: usize = 32;
 
-/// What a leader knows of one follower.
+/// Progress of one follower, as seen by its leader.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Follower {
     /// Its link address.
@@ -25,58 +25,58 @@
     pub matched: u64,
     /// Next index that will be sent.
     pub next: u64,
-    /// Messages that it refused because its log differs or ends before them.
+    /// Messages that it rejected because its log conflicts or is too short.
     pub refused: u64,
-    /// Of these, refusals that changed nothing here.
+    /// Of these, rejections that had no effect on the leader.
     pub ignored: u64,
-    /// Last index that may agree, by its newest refusal.
+    /// Last index where the logs may agree, from its newest rejection.
     pub may_agree: Option<u64>,
-    /// Milliseconds since the newest message that it answered.
+    /// Milliseconds since the newest message that it answered was sent.
     pub silent_ms: u64,
 }
 
-/// A process that calls to be admitted, or to hear of its cluster.
+/// A process that calls to be admitted or to find its cluster.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Caller {
     /// Its link address.
     pub addr: SocketAddr,
-    /// Life of its data folder.
+    /// Incarnation of its data folder.
     pub life: u64,
     /// Milliseconds since its first call.
     pub waits_ms: u64,
 }
 
-/// What is remembered for operators only. No decision rests on it.
+/// Data for operators only. Consensus does not depend on it.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
-    /// Commit index, and when it last moved or nothing waited.
+    /// Commit index, and when it last advanced or nothing was uncommitted.
     commit: (u64, Duration),
-    /// First and last call of processes that do not vote.
+    /// Times of the first and last call of processes that are not voters.
     callers: BTreeMap<member::Member, (Duration, Duration)>,
 }
 
-/// Refusals of one follower.
+/// Rejections by one follower.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Refusals {
+pub(super) struct Rejections {
     pub(super) count: u64,
     pub(super) ignored: u64,
     pub(super) may_agree: Option<u64>,
 }
 
 impl Raft {
-    /// Notes whether commits go on.
-    pub(super) fn watch(&mut self, now: Duration) {
+    /// Updates the time of the last commit, and drops silent callers.
+    pub(super) fn update_watch(&mut self, now: Duration) {
         let waits =
             matches!(self.role, RoleState::Leader(_)) && self.commit < self.log.tail().index;
         if !waits || self.commit != self.watch.commit.0 {
             self.watch.commit = (self.commit, now);
         }
         let callers = &mut self.watch.callers;
-        callers.retain(|_, (_, last)| now < *last + CALLS_HOLD);
+        callers.retain(|_, (_, last)| now < *last + CALLER_TTL);
     }
 
-    /// Notes a call of a process that may wait to be admitted to this member's cluster.
-    pub(super) fn note_call(&mut self, now: Duration, from: member::Member) {
+    /// Records a call of a process that may be waiting for admission to this member's cluster.
+    pub(super) fn record_call(&mut self, now: Duration, from: member::Member) {
         if self.hard.cluster == 0 || self.membership().votes(&from) {
             return;
         }
@@ -86,8 +86,8 @@
         }
     }
 
-    /// How long the oldest entries of this leader have waited for their commit, none being
-    /// committed meanwhile. Zero: nothing waits, or it does not lead.
+    /// Time since this leader last committed an entry while others wait for their commit. Zero if
+    /// none wait, or if it does not lead.
     pub fn commit_delay(&self, now: Duration) -> Duration {
         let (commit, since) = self.watch.commit;
         let is_leader = matches!(self.role, RoleState::Leader(_));
@@ -97,7 +97,7 @@
         now.saturating_sub(since)
     }
 
-    /// What this leader knows of its followers. Empty: it does not lead.
+    /// Progress of this leader's followers. Empty unless it leads.
     pub fn followers(&self, now: Duration) -> Vec<Follower> {
         let RoleState::Leader(lead) = &self.role else {
             return Vec::new();
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    /// Who calls this member and does not vote.
+    /// Processes that call this member and are not voters.
     pub fn callers(&self, now: Duration) -> Vec<Caller> {
         let callers = self.watch.callers.iter();
         let callers = callers.map(|(member, (first, _))| Caller {
@@ -125,9 +125,9 @@
         addr,
         matched: progress.matched,
         next: progress.next,
-        refused: progress.refusals.count,
-        ignored: progress.refusals.ignored,
-        may_agree: progress.refusals.may_agree,
-        silent_ms: now.saturating_sub(progress.answered).as_millis() as u64,
+        refused: progress.rejections.count,
+        ignored: progress.rejections.ignored,
+        may_agree: progress.rejections.may_agree,
+        silent_ms: now.saturating_sub(progress.last_answered).as_millis() as u64,
     }
 }
--- a/src/control/log.rs
+++ b/src/control/log.rs
@@ -1,4 +1,4 @@
-//! Entries, and the part of the log that a member holds in memory.
+//! Log entries, what is made durable, and the part of the log that a member holds in memory.
 
 use std::collections::VecDeque;
 
@@ -7,43 +7,43 @@
 use super::state;
 use crate::wire::agree;
 
-/// Bytes that an entry without texts is taken to have.
-const PLAIN_BYTES: usize = 192;
+/// Assumed size of an entry besides its variable-length fields.
+const BASE_ENTRY_BYTES: usize = 192;
 
 data! {
     /// One entry of the replicated log.
     pub struct Entry {
-        /// Place in the log, from 1 without gaps.
+        /// Index in the log, from 1 without gaps.
         pub index: u64,
-        /// Term of the leader that made it.
+        /// Term of the leader that created it.
         pub term: u64,
-        /// Replicated clock in milliseconds. Never falls along the log.
+        /// Replicated clock in milliseconds. Never decreases along the log.
         pub clock_ms: u64,
-        /// What it says.
+        /// Content.
         pub payload: Payload,
     }
 
-    /// What an entry says.
+    /// Content of an entry.
     pub enum Payload {
-        /// A leader's first entry.
+        /// First entry of a leader's term.
         Noop,
-        /// The members from here on.
+        /// The membership from this entry on.
         Members(member::Membership),
-        /// A command to the agreed state.
+        /// A command to the replicated state.
         Command {
-            /// The leader's wall clock in milliseconds since the Unix epoch; for people only.
+            /// The leader's wall clock in milliseconds since the Unix epoch. For display only.
             wall_ms: u64,
-            /// With `Configure`: limits of the state that the new configuration names.
+            /// With `Configure`: limits that the new configuration sets for the state.
             limits: Option<state::Limits>,
             /// The command.
             command: agree::Command,
         },
     }
 
-    /// What must be durable besides the entries.
+    /// Raft's hard state: what must be durable besides the entries.
     #[derive(Copy, Default)]
     pub struct Hard {
-        /// The cluster. 0: none yet.
+        /// Identifier of the cluster. 0: none yet.
         pub cluster: u128,
         /// Newest term seen.
         pub term: u64,
@@ -51,24 +51,24 @@
         pub vote: Option<member::Member>,
     }
 
-    /// Stands for all entries up to its tail.
+    /// Replaces all entries up to and including its tail.
     pub struct Snapshot {
-        /// Last entry it stands for.
+        /// Last entry that it replaces.
         pub tail: Tail,
         /// Replicated clock in milliseconds.
         pub clock_ms: u64,
-        /// Members at `tail`.
+        /// Membership at `tail`.
         pub members: member::Membership,
-        /// Encoded state. Empty: the first state.
+        /// Encoded state. Empty: the initial state.
         pub state: Vec<u8>,
     }
 
     /// What a data folder held at start.
     #[derive(Default)]
     pub struct Saved {
-        /// The durable word.
+        /// The hard state.
         pub hard: Hard,
-        /// The snapshot, if there is one.
+        /// The newest snapshot, if any.
         pub snapshot: Option<Snapshot>,
         /// Entries after the snapshot, without gaps.
         pub entries: Vec<Entry>,
@@ -76,19 +76,19 @@
         pub commit: u64,
     }
 
-    /// Something to write and sync. Writes are carried out in the order of `seq`.
+    /// Data to write and sync. Writes are carried out in the order of `seq`.
     #[derive(Default)]
     pub struct Write {
-        /// Counts up by one.
+        /// Sequence number, without gaps.
         pub seq: u64,
-        /// Replaces all that was written before.
+        /// Replaces everything written before.
         pub snapshot: Option<Snapshot>,
-        /// The durable word.
+        /// The hard state, if it changed.
         pub hard: Option<Hard>,
-        /// Entries up to here are committed. Lets a member that starts again apply them before
-        /// it hears a leader.
+        /// Entries up to here are committed. Lets a restarted member apply them before it has
+        /// contact with a leader.
         pub commit: Option<u64>,
-        /// Entries. One with an index that was written before replaces it and all after it.
+        /// Entries. An entry whose index was written before replaces that entry and all after it.
         pub entries: Vec<Entry>,
     }
 }
@@ -104,10 +104,10 @@
 }
 
 impl Entry {
-    /// About its size in bytes.
+    /// Approximate size in bytes.
     pub fn approx_bytes(&self) -> usize {
         let Payload::Command { command, .. } = &self.payload else {
-            return PLAIN_BYTES;
+            return BASE_ENTRY_BYTES;
         };
         let text: usize = match command {
             agree::Command::Configure(change) => change.files.iter().map(|f| f.text.len()).sum(),
@@ -116,10 +116,10 @@
             agree::Command::Publish(document) => document.packed.len(),
             _ => 0,
         };
-        PLAIN_BYTES + text
+        BASE_ENTRY_BYTES + text
     }
 
-    /// Its place and term.
+    /// Its term and index.
     pub fn tail(&self) -> Tail {
         Tail {
             term: self.term,
@@ -139,7 +139,7 @@
 }
 
 impl Log {
-    /// A log that goes on after `base`.
+    /// An empty log that continues after `base`.
     pub fn new(base: Tail) -> Self {
         Self {
             base,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Last entry that is no longer held.
+    /// Last entry before those held.
     pub fn base(&self) -> Tail {
         self.base
     }
@@ -162,7 +162,7 @@
         self.entries.back().map_or(0, |entry| entry.clock_ms)
     }
 
-    /// About the bytes held.
+    /// Approximate size of the entries held.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -181,7 +181,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Entries after `index`, as many as fit both limits, but at least one if there is one.
+    /// Entries after `index` within both limits, but at least one if there is any.
     pub fn after(&self, index: u64, max: usize, max_bytes: usize) -> Vec<Entry> {
         let skip = index.saturating_sub(self.base.index) as usize;
         let mut bytes = 0;
@@ -211,9 +211,13 @@
         }
     }
 
-    /// Drops the entries up to and with `index`.
+    /// Drops the entries up to and including `index`.
     pub fn compact(&mut self, index: u64) {
-        while self.entries.front().is_some_and(|one| one.index <= index) {
+        while self
+            .entries
+            .front()
+            .is_some_and(|first| first.index <= index)
+        {
             let first = self.entries.pop_front().expect("there is a first one");
             self.bytes -= first.approx_bytes();
             self.base = first.tail();
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -5,20 +5,20 @@
 use crate::wire::id;
 
 key! {
-    /// A member: an address and one life of its data folder.
+    /// A member: an address and an incarnation of its data folder.
     ///
-    /// Invariant: a data folder that was lost or exchanged comes back as another life, so it is
-    /// another member and never counts for the lost one.
+    /// Invariant: a lost or exchanged data folder gets a new incarnation. So the process is another
+    /// member, and its votes and acknowledgements never count for the lost one.
     pub struct Member {
         /// Link address.
         pub addr: SocketAddr,
-        /// Life of the data folder. 0 in a message's target: whichever.
+        /// Incarnation of the data folder. 0 in a message's target: any.
         pub life: id::Incarnation,
     }
 }
 
 impl Member {
-    /// Whoever is at `addr`.
+    /// Any member at `addr`, as a message's target.
     pub fn any(addr: SocketAddr) -> Self {
         let life = id::Incarnation(0);
         Self { addr, life }
@@ -26,47 +26,47 @@
 }
 
 data! {
-    /// Who belongs to the quorum. Held in the log; the newest in the log is in force.
+    /// The members of the cluster. Held in the log; the newest in the log is in force.
     #[derive(Default)]
     pub struct Membership {
-        /// Members that vote and count.
+        /// Members that count for elections and commits.
         pub voters: Vec<Member>,
-        /// Members that only follow, until they have caught up.
+        /// Members that receive entries and do not vote yet.
         pub learners: Vec<Member>,
-        /// Addresses that an operator added and that have not come yet.
+        /// Addresses that an operator added and that have not joined yet.
         pub invited: Vec<Invite>,
     }
 
-    /// An address that may join.
+    /// An address that is allowed to join.
     pub struct Invite {
         /// Its link address.
         pub addr: SocketAddr,
-        /// The member that leaves when this one has caught up.
+        /// The member that is removed once this one has caught up.
         pub replaces: Option<SocketAddr>,
     }
 
     /// An operator's order.
     pub enum Order {
-        /// Let the process at this address join.
+        /// Allow the process at this address to join.
         Add(SocketAddr),
         /// Remove the member at this address.
         Remove(SocketAddr),
-        /// Let `new` join, then remove `old`.
+        /// Allow `new` to join, then remove `old`.
         Replace {
-            /// Who leaves.
+            /// Address of the member to remove.
             old: SocketAddr,
-            /// Who joins.
+            /// Address of the process to join.
             new: SocketAddr,
         },
     }
 
-    /// What became of an order.
+    /// Outcome of an order.
     pub enum Outcome {
-        /// It is in the log of the leader.
+        /// Accepted: it is in the leader's log.
         Taken,
-        /// It cannot be done.
+        /// Rejected, with the reason.
         Refused(String),
-        /// No leader known, or another change of members is under way.
+        /// No leader is known, or another membership change is in progress.
         Unavailable,
     }
 }
@@ -77,27 +77,27 @@
         self.voters.contains(member)
     }
 
-    /// Members that count needed for a decision.
+    /// Number of voters needed for a decision.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// All members.
+    /// Voters and learners.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.voters.iter().chain(&self.learners)
     }
 
     /// The voter at `addr`.
     pub fn voter_at(&self, addr: SocketAddr) -> Option<Member> {
-        self.voters.iter().copied().find(|one| one.addr == addr)
+        self.voters.iter().copied().find(|voter| voter.addr == addr)
     }
 
     /// The invite of `addr`.
     pub fn invite(&self, addr: SocketAddr) -> Option<&Invite> {
-        self.invited.iter().find(|one| one.addr == addr)
+        self.invited.iter().find(|invite| invite.addr == addr)
     }
 
-    /// The largest of `values` (one a voter) that a quorum has reached.
+    /// The largest value that a quorum of voters has reached, given each voter's `value`.
     pub fn quorum_value<T: Copy + Ord>(&self, value: impl Fn(&Member) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.iter().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
--- a/src/control/message.rs
+++ b/src/control/message.rs
@@ -7,21 +7,22 @@
 use crate::wire::codec::MAX_BODY;
 
 data! {
-    /// One message.
+    /// A message with its sender and target.
     pub struct Envelope {
-        /// The sender's cluster. 0: it belongs to none yet.
+        /// The sender's cluster. 0: none yet.
         pub cluster: u128,
         /// The sender.
         pub from: member::Member,
-        /// The member it is for. Another life at that address drops it.
+        /// The target. Another incarnation at that address drops the message.
         pub to: member::Member,
         /// The sender's term.
         pub term: u64,
-        /// What it says.
+        /// Content.
         pub body: Body,
     }
 
-    /// Last entry of a candidate's log.
+    /// Term and index of an entry, usually the last one of a log. The greater, the more up to date
+    /// the log is.
     #[derive(Copy, Default, PartialOrd, Ord)]
     pub struct Tail {
         /// Its term. Compared first.
@@ -30,108 +31,108 @@
         pub index: u64,
     }
 
-    /// What a message says.
+    /// Content of a message.
     pub enum Body {
-        /// Would you vote for me in `term`? Changes nothing.
+        /// Asks whether the receiver would vote for the sender in `term`. Changes no state.
         PreVote {
-            /// The term to come.
+            /// The sender's next term.
             term: u64,
-            /// End of the candidate's log.
+            /// Last entry of the candidate's log.
             tail: Tail,
         },
         /// Answer to `PreVote`.
         PreVoted {
-            /// The term asked about.
+            /// The term of the `PreVote`.
             term: u64,
-            /// Whether.
+            /// Whether the receiver would vote for the candidate.
             granted: bool,
         },
-        /// Vote for me in the envelope's term.
+        /// Requests a vote for the sender in the envelope's term.
         Vote {
-            /// End of the candidate's log.
+            /// Last entry of the candidate's log.
             tail: Tail,
-            /// The leader asked the candidate to take over, so its lease does not bind.
+            /// The leader handed over to the candidate, so the leader's lease does not bind voters.
             handover: bool,
         },
-        /// Answer to `Vote`. Sent when the vote is synced.
+        /// Answer to `Vote`. Sent once the vote is synced.
         Voted {
-            /// Whether.
+            /// Whether the vote is granted.
             granted: bool,
         },
-        /// The leader's entries; empty as heartbeat.
+        /// Entries from the leader. Empty in a heartbeat or a probe.
         Append {
-            /// End of the log before `entries`.
+            /// The entry just before `entries`.
             prev: Tail,
-            /// Entries without gap.
+            /// Entries without gaps.
             entries: Vec<log::Entry>,
             /// Last committed index.
             commit: u64,
-            /// The leader's time of sending in microseconds, returned in the answer.
+            /// Send time on the leader's clock in microseconds, echoed in the answer.
             sent: u64,
             /// The replicated clock in milliseconds.
             clock_ms: u64,
         },
-        /// Answer to `Append` and to a finished `Snapshot`.
+        /// Answer to `Append` and to the last chunk of a `Snapshot`.
         Appended {
-            /// Whether the logs agree up to `index`, and it is synced there. If not, `index`
-            /// is the last that may agree.
+            /// Whether the logs agree up to `index` and the sender has synced it. If not, `index` is
+            /// the last one where they may agree.
             agreed: bool,
             /// See `agreed`.
             index: u64,
-            /// From the message answered.
+            /// Copied from the message that is answered.
             sent: u64,
         },
-        /// A piece of a snapshot.
+        /// A chunk of a snapshot.
         Snapshot {
-            /// End of the log that it stands for.
+            /// Last entry that the snapshot replaces.
             tail: Tail,
             /// Length of the encoded snapshot.
             total: u64,
-            /// Where `data` begins in it.
+            /// Offset of `data` in the encoded snapshot.
             offset: u64,
-            /// The piece.
+            /// The bytes of the chunk.
             data: Bytes,
             /// As in `Append`.
             sent: u64,
         },
-        /// Answer to `Snapshot`.
+        /// Acknowledges a chunk of a `Snapshot` that is not complete yet.
         Took {
-            /// Index that the snapshot stands for.
+            /// Index of the last entry that the snapshot replaces.
             index: u64,
-            /// Bytes that have arrived.
+            /// Bytes received so far.
             offset: u64,
-            /// From the message answered.
+            /// Copied from the message that is answered.
             sent: u64,
         },
-        /// I belong to no cluster, or hear no leader.
+        /// The sender belongs to no cluster, or has no contact with a leader.
         Hail,
-        /// Answer to `Hail` of one who belongs to no cluster either.
+        /// Answer to `Hail`: the sender belongs to no cluster either.
         Unborn {
-            /// Life of the one who asked.
+            /// Incarnation of the process that sent the `Hail`.
             echo: crate::wire::id::Incarnation,
         },
-        /// A snapshot of a cluster, at first that of its founding, to a voter of it that has not
-        /// yet heard of it.
+        /// A snapshot of a cluster, for a voter that does not know the cluster yet. Right after the
+        /// founding, the initial snapshot.
         Genesis(log::Snapshot),
-        /// Take over the leadership at once.
+        /// Asks the receiver to start an election at once and take over the leadership.
         TakeOver,
     }
 }
 
 data! {
-    /// What goes from one control process to another in one question.
+    /// A request from one control process to another.
     pub enum Packet {
-        /// Messages in their order. Answered at once.
+        /// Messages in order. Answered at once.
         Batch(Vec<Envelope>),
-        /// A command for the leader; not forwarded again. Answered with its verdict.
+        /// A command for the leader. Not forwarded again. Answered with the command's verdict.
         Forward(crate::wire::agree::Command),
-        /// An operator's order for the leader; not forwarded again.
+        /// An operator's order for the leader. Not forwarded again.
         Order(member::Order),
     }
 }
 
 impl Envelope {
-    /// About its size in bytes.
+    /// Approximate size in bytes.
     pub fn approx_bytes(&self) -> usize {
         match &self.body {
             Body::Append { entries, .. } => entries.iter().map(log::Entry::approx_bytes).sum(),
@@ -143,14 +144,13 @@
 }
 
 impl Packet {
-    /// Encodes it.
     pub fn encode(&self) -> Bytes {
         let conf = bincode::config::standard();
         let bytes = bincode::serde::encode_to_vec(self, conf).expect("a packet encodes");
         Bytes::from(bytes)
     }
 
-    /// Decodes one, if it is one.
+    /// Decodes a packet. `None` if `bytes` is not exactly one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let conf = bincode::config::standard().with_limit::<MAX_BODY>();
         let (packet, used) = bincode::serde::decode_from_slice(bytes, conf).ok()?;
--- a/src/control/record.rs
+++ b/src/control/record.rs
@@ -1,8 +1,8 @@
-//! Records of the log file: length, check of the length, check of the content, content.
+//! Records of the log file: length, checksum of the length, checksum of the content, content.
 //!
-//! A file that ends within a record was torn by a crash before its sync: the rest is cut off. A
-//! record that is whole but fails its check was synced and has rotted: it is refused, so that
-//! nothing acknowledged is dropped in silence.
+//! If a file ends within a record, a crash came before the sync: the incomplete record is cut off.
+//! A complete record with a wrong checksum was synced and is corrupt: the file is rejected, so that
+//! no acknowledged data is dropped silently.
 
 use std::fmt;
 
@@ -12,36 +12,36 @@
 use super::member;
 
 /// Bytes before a record's content.
-const HEAD: usize = 12;
+const HEADER_BYTES: usize = 12;
 
 /// Largest content of a record in bytes.
-const MAX_RECORD: usize = 512 << 20;
+const MAX_RECORD_BYTES: usize = 512 << 20;
 
-/// Smallest unit that a disk writes as a whole. A crash may leave such a unit of zeros.
-const SECTOR: usize = 512;
+/// Smallest unit that a disk writes atomically. A crash may leave a unit full of zeros.
+const SECTOR_BYTES: usize = 512;
 
 data! {
-    /// One record.
+    /// A record of the log file.
     pub enum Record {
-        /// First of a file: whose it is.
+        /// The owner of the file. Comes first.
         Identity(member::Member),
-        /// All entries up to here. Replaces what came before.
+        /// A snapshot. Replaces all entries before it in the file.
         Snapshot(log::Snapshot),
-        /// The durable word.
+        /// The hard state.
         Hard(log::Hard),
-        /// An entry; replaces a former one of its index and all after it.
+        /// An entry. Replaces an earlier one with its index and all after that.
         Entry(log::Entry),
         /// Entries up to here are committed.
         Commit(u64),
     }
 }
 
-/// A file that must not be used.
+/// The log file is corrupt and must not be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Corrupt {
-    /// Where, in bytes from the start of the file.
+    /// Offset of the corrupt record in bytes.
     pub offset: usize,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
@@ -53,38 +53,38 @@
 
 impl std::error::Error for Corrupt {}
 
-/// What a file holds.
+/// Content of a log file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scan {
-    /// Whose it is.
+    /// Owner of the file.
     pub identity: Option<member::Member>,
-    /// What it says.
+    /// Hard state, snapshot and entries.
     pub saved: log::Saved,
-    /// Bytes that are whole. What follows was torn and is to be cut off.
+    /// Length of the complete records. The rest is torn and has to be cut off.
     pub len: usize,
 }
 
 /// Appends a record to `buf`.
 fn put<T: Serialize>(buf: &mut Vec<u8>, tag: u8, body: &T) {
     let start = buf.len();
-    buf.extend_from_slice(&[0; HEAD]);
+    buf.extend_from_slice(&[0; HEADER_BYTES]);
     buf.push(tag);
     bincode::serde::encode_into_std_write(body, buf, bincode::config::standard())
         .expect("a record always encodes");
-    let len = (buf.len() - start - HEAD) as u32;
-    let check = crc32fast::hash(&buf[start + HEAD..]);
+    let len = (buf.len() - start - HEADER_BYTES) as u32;
+    let checksum = crc32fast::hash(&buf[start + HEADER_BYTES..]);
     let len = len.to_le_bytes();
     buf[start..start + 4].copy_from_slice(&len);
     buf[start + 4..start + 8].copy_from_slice(&crc32fast::hash(&len).to_le_bytes());
-    buf[start + 8..start + 12].copy_from_slice(&check.to_le_bytes());
+    buf[start + 8..start + 12].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Appends the record of whose file it is.
+/// Appends the record that names the file's owner.
 pub fn put_identity(buf: &mut Vec<u8>, me: &member::Member) {
     put(buf, 0, me);
 }
 
-/// Appends what `write` says.
+/// Appends the records of `write`.
 pub fn put_write(buf: &mut Vec<u8>, write: &log::Write) {
     if let Some(snapshot) = &write.snapshot {
         put(buf, 1, snapshot);
@@ -101,11 +101,13 @@
 }
 
 enum Step {
+    /// A record and its length in the file.
     Record(Record, usize),
+    /// The rest of the file is incomplete.
     Torn,
 }
 
-/// Reads a whole file.
+/// Reads the content of a log file.
 pub fn scan(bytes: &[u8]) -> Result<Scan, Corrupt> {
     let mut scan = Scan::default();
     while scan.len < bytes.len() {
@@ -116,7 +118,7 @@
         match next(&bytes[scan.len..]).map_err(&corrupt)? {
             Step::Torn => break,
             Step::Record(record, used) => {
-                take(&mut scan, record).map_err(|message| Corrupt {
+                apply(&mut scan, record).map_err(|message| Corrupt {
                     offset: scan.len,
                     message,
                 })?;
@@ -128,31 +130,31 @@
 }
 
 fn next(bytes: &[u8]) -> Result<Step, String> {
-    if bytes.len() < HEAD || is_zero(bytes) {
+    if bytes.len() < HEADER_BYTES || is_zero(bytes) {
         return Ok(Step::Torn);
     }
-    let word = |at: usize| {
-        let word = bytes[at..at + 4].try_into().expect("four bytes");
-        u32::from_le_bytes(word)
+    let read_u32 = |at: usize| {
+        let four = bytes[at..at + 4].try_into().expect("four bytes");
+        u32::from_le_bytes(four)
     };
-    if crc32fast::hash(&bytes[..4]) != word(4) {
+    if crc32fast::hash(&bytes[..4]) != read_u32(4) {
         return Err("the length of a record fails its check".to_owned());
     }
-    let len = word(0) as usize;
-    if len == 0 || len > MAX_RECORD {
+    let len = read_u32(0) as usize;
+    if len == 0 || len > MAX_RECORD_BYTES {
         return Err(format!("a record of {len} bytes"));
     }
-    let Some(content) = bytes.get(HEAD..HEAD + len) else {
+    let Some(content) = bytes.get(HEADER_BYTES..HEADER_BYTES + len) else {
         return Ok(Step::Torn);
     };
-    if crc32fast::hash(content) != word(8) {
-        let last = bytes.len() == HEAD + len;
+    if crc32fast::hash(content) != read_u32(8) {
+        let last = bytes.len() == HEADER_BYTES + len;
         if last && has_zero_sector(content) {
             return Ok(Step::Torn);
         }
         return Err("the content of a record fails its check".to_owned());
     }
-    Ok(Step::Record(parse(content)?, HEAD + len))
+    Ok(Step::Record(parse(content)?, HEADER_BYTES + len))
 }
 
 fn parse(content: &[u8]) -> Result<Record, String> {
@@ -168,7 +170,7 @@
 }
 
 fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, String> {
-    let conf = bincode::config::standard().with_limit::<MAX_RECORD>();
+    let conf = bincode::config::standard().with_limit::<MAX_RECORD_BYTES>();
     let (value, used) =
         bincode::serde::decode_from_slice(body, conf).map_err(|err| err.to_string())?;
     if used != body.len() {
@@ -177,7 +179,7 @@
     Ok(value)
 }
 
-fn take(scan: &mut Scan, record: Record) -> Result<(), String> {
+fn apply(scan: &mut Scan, record: Record) -> Result<(), String> {
     let saved = &mut scan.saved;
     match record {
         Record::Identity(me) => scan.identity = Some(me),
@@ -207,5 +209,5 @@
 }
 
 fn has_zero_sector(content: &[u8]) -> bool {
-    content.len() >= SECTOR && content.chunks(SECTOR).any(is_zero)
+    content.len() >= SECTOR_BYTES && content.chunks(SECTOR_BYTES).any(is_zero)
 }
