--- a/examples/commit_rate.rs
+++ b/examples/commit_rate.rs
@@ -1,6 +1,6 @@
-//! Measures the control role on this machine: commits a second, latency, bytes and processor
-//! time of claims with group commit, on one and three members over links on loopback, with real
-//! folders and syncs. All members share this process and one disk.
+//! Measures the control role on this machine: commits per second, latency, bytes written and CPU
+//! time of claims with group commit, with one and three members over loopback, real folders and
+//! real syncs. All members share this process and one disk.
 //!
 //! Run: `cargo run --release --example commit_rate [FOLDER]`
 
@@ -25,10 +25,10 @@
 use wigeonbarrow::edge::control::Control;
 use wigeonbarrow::wire::agree;
 
-/// Time of one measurement.
-const TIME: Duration = Duration::from_secs(4);
+/// Duration of one measurement.
+const DURATION: Duration = Duration::from_secs(4);
 
-/// Claims of one measurement at most.
+/// Upper bound of claims in one measurement.
 const MAX_CLAIMS: u64 = 60_000;
 
 fn main() {
@@ -37,20 +37,20 @@
         .map_or_else(std::env::temp_dir, PathBuf::from);
     let dir = tempfile::tempdir_in(folder).expect("a folder");
     sync_times(dir.path());
-    slopes();
+    scaling();
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     println!("members askers via       claims/s   p50 ms   p99 ms  max ms  B/claim  cpu us/claim");
     for members in [1, 3] {
-        for askers in [1, 16, 256, 2_048] {
-            let data = dir.path().join(format!("{members}-{askers}"));
-            runtime.block_on(rate(members, askers, false, &data));
+        for clients in [1, 16, 256, 2_048] {
+            let data = dir.path().join(format!("{members}-{clients}"));
+            runtime.block_on(rate(members, clients, false, &data));
         }
     }
     let data = dir.path().join("follower");
     runtime.block_on(rate(3, 256, true, &data));
 }
 
-/// What one sync costs here, without any of our code.
+/// Measures a plain write and sync, as a baseline.
 fn sync_times(dir: &Path) {
     let mut file = fs::File::create(dir.join("sync")).expect("a file");
     let mut times = Vec::new();
@@ -67,7 +67,7 @@
     );
 }
 
-async fn rate(members: usize, askers: u64, by_follower: bool, data: &Path) {
+async fn rate(members: usize, clients: u64, via_follower: bool, data: &Path) {
     let addrs = cluster::free_addrs(members).await;
     let mut processes = Vec::new();
     for (at, addr) in addrs.iter().enumerate() {
@@ -75,17 +75,17 @@
         processes.push(Process::start(*addr, &addrs, data).await);
     }
     let leader = cluster::leader(&processes).await;
-    let asked = (leader + usize::from(by_follower)) % members;
+    let asked = (leader + usize::from(via_follower)) % members;
     let before = (bytes(&data.join(leader.to_string())), cpu());
     let control = &processes[asked].control;
-    let (count, mut times, elapsed) = claims(control, askers).await;
+    let (count, mut times, elapsed) = claims(control, clients).await;
     let written = bytes(&data.join(leader.to_string())) - before.0;
     let cpu = cpu().saturating_sub(before.1);
     times.sort_unstable();
     let at = |part: usize| times[(times.len() - 1) * part / 100].as_secs_f64() * 1e3;
-    let via = if by_follower { "follower" } else { "leader" };
+    let via = if via_follower { "follower" } else { "leader" };
     println!(
-        "{members:>7} {askers:>6} {via:<9} {:>8.0} {:>8.2} {:>8.2} {:>7.1} {:>8.0} {:>13.1}",
+        "{members:>7} {clients:>6} {via:<9} {:>8.0} {:>8.2} {:>8.2} {:>7.1} {:>8.0} {:>13.1}",
         count as f64 / elapsed.as_secs_f64(),
         at(50),
         at(99),
@@ -98,16 +98,17 @@
     }
 }
 
-/// Claims with `askers` at a time: how many were granted, how long each took, and all.
-async fn claims(control: &Arc<Control>, askers: u64) -> (u64, Vec<Duration>, Duration) {
+/// Makes claims with `clients` concurrent tasks. Returns the number granted, the latency of
+/// each, and the total time.
+async fn claims(control: &Arc<Control>, clients: u64) -> (u64, Vec<Duration>, Duration) {
     let next = Arc::new(AtomicU64::new(0));
     let start = Instant::now();
-    let tasks = (0..askers).map(|_| {
+    let tasks = (0..clients).map(|_| {
         let control = Arc::clone(control);
         let next = Arc::clone(&next);
         tokio::spawn(async move {
             let mut times = Vec::new();
-            while start.elapsed() < TIME {
+            while start.elapsed() < DURATION {
                 let number = next.fetch_add(1, Ordering::Relaxed);
                 if number >= MAX_CLAIMS {
                     break;
@@ -136,7 +137,7 @@
         .sum()
 }
 
-/// Processor time of this process so far, at 100 ticks a second.
+/// CPU time of this process so far, at 100 ticks per second.
 fn cpu() -> Duration {
     let stat = fs::read_to_string("/proc/self/stat").expect("proc");
     let after = stat.rsplit(") ").next().unwrap_or_default();
@@ -148,7 +149,7 @@
     Duration::from_millis(ticks * 10)
 }
 
-/// Memory of this process in bytes, at 4 KiB a page.
+/// Resident memory of this process in bytes, at 4 KiB per page.
 fn resident() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").expect("proc");
     let pages = text
@@ -158,8 +159,8 @@
     pages.unwrap_or_default() * 4_096
 }
 
-/// Sizes and times that grow with the deployment.
-fn slopes() {
+/// Measures sizes and times that grow with the deployment.
+fn scaling() {
     let mut state = State::default();
     let count = 200_000;
     let before = resident();
--- a/tests/common/client.rs
+++ b/tests/common/client.rs
@@ -5,14 +5,14 @@
 use wigeonbarrow::wire::agree::Verdict;
 
 use super::Done;
+use super::Event;
 use super::RESEND;
 use super::Sim;
-use super::What;
 use super::ms;
 
 impl Sim {
     pub(super) fn ask(&mut self, client: usize) {
-        if self.clients[client].left.is_empty() {
+        if self.clients[client].remaining.is_empty() {
             return;
         }
         self.clients[client].floor = self.acknowledged;
@@ -24,7 +24,7 @@
         if one.token != token {
             return;
         }
-        let Some(command) = one.left.front().cloned() else {
+        let Some(command) = one.remaining.front().cloned() else {
             return;
         };
         // Tokens name their client; each try has its own.
@@ -38,11 +38,11 @@
         let leader = leader.and_then(|one| one.raft().leader());
         let leader = leader.and_then(|one| self.vms.iter().position(|vm| vm.addr == one.addr));
         let at = leader.unwrap_or(asked);
-        self.after(RESEND, What::Resend(client, token));
+        self.after(RESEND, Event::Resend(client, token));
         if self.vms[at].frozen {
             return;
         }
-        let now = self.local(at);
+        let now = self.local_time(at);
         let name = (client as u64) << 32 | token;
         self.with(at, |replica| replica.propose(now, 0, name, command));
     }
@@ -52,7 +52,7 @@
         if verdict == Verdict::Unavailable {
             return;
         }
-        let Some(command) = self.clients[client].left.front().cloned() else {
+        let Some(command) = self.clients[client].remaining.front().cloned() else {
             return;
         };
         if u64::from(name as u32) != self.clients[client].token {
@@ -63,7 +63,7 @@
         self.acknowledged = self.acknowledged.max(index);
         let one = &mut self.clients[client];
         one.token += 1;
-        one.left.pop_front();
+        one.remaining.pop_front();
         let floor = one.floor;
         self.done.push(Done {
             client,
@@ -71,14 +71,17 @@
             verdict,
             floor,
         });
-        self.after(ms(2), What::Ask(client));
+        self.after(ms(2), Event::Ask(client));
     }
 
     pub(super) fn index_of(&self, wanted: &Command) -> Option<u64> {
-        let found = self.truth.values().find(|entry| match &entry.payload {
-            log::Payload::Command { command, .. } => command == wanted,
-            _ => false,
-        });
+        let found = self
+            .first_applied
+            .values()
+            .find(|entry| match &entry.payload {
+                log::Payload::Command { command, .. } => command == wanted,
+                _ => false,
+            });
         found.map(|entry| entry.index)
     }
 }
--- a/tests/common/disk.rs
+++ b/tests/common/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory: what was written counts only once it is synced.
+//! A simulated disk: written data is durable only once it is synced.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use wigeonbarrow::control::member::Member;
 use wigeonbarrow::control::record;
 
-/// What happens to bytes that were written and not synced when the process ends.
+/// What happens to unsynced bytes when the process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tail {
+pub enum Unsynced {
     Lost,
     Torn,
     Kept,
@@ -22,7 +22,7 @@
     pub full: bool,
     /// Added to the time of each sync.
     pub slow: Duration,
-    rotten: bool,
+    corrupt: bool,
 }
 
 impl Disk {
@@ -40,15 +40,15 @@
         record::scan(&self.synced)
     }
 
-    pub fn is_rotten(&self) -> bool {
-        self.rotten
+    pub fn is_corrupt(&self) -> bool {
+        self.corrupt
     }
 
     pub fn write(&mut self, write: log::Write) {
         self.pending.push(write);
     }
 
-    /// Syncs all that was written: number of the last write.
+    /// Syncs all pending writes. Returns the number of the last one.
     pub fn sync(&mut self) -> u64 {
         let mut seq = 0;
         for write in std::mem::take(&mut self.pending) {
@@ -64,15 +64,15 @@
         seq
     }
 
-    pub fn crash(&mut self, tail: Tail, cut: f64) {
+    pub fn crash(&mut self, tail: Unsynced, cut: f64) {
         match tail {
-            Tail::Lost => {}
-            Tail::Kept => {
+            Unsynced::Lost => {}
+            Unsynced::Kept => {
                 self.sync();
             }
-            // A new snapshot is written beside and renamed, so it cannot be torn.
-            Tail::Torn if self.pending.iter().any(|one| one.snapshot.is_some()) => {}
-            Tail::Torn => {
+            // A new snapshot goes to a separate file that is renamed, so it cannot be torn.
+            Unsynced::Torn if self.pending.iter().any(|one| one.snapshot.is_some()) => {}
+            Unsynced::Torn => {
                 let mut buf = Vec::new();
                 for write in &self.pending {
                     record::put_write(&mut buf, write);
@@ -84,13 +84,13 @@
         self.pending.clear();
     }
 
-    /// Flips a bit of what was synced.
-    pub fn rot(&mut self, at: f64) {
+    /// Flips a bit of the synced data.
+    pub fn flip_bit(&mut self, at: f64) {
         let bits = self.synced.len() * 8;
         if bits > 0 {
             let bit = (bits as f64 * at) as usize;
             self.synced[bit / 8] ^= 1 << (bit % 8);
-            self.rotten = true;
+            self.corrupt = true;
         }
     }
 
@@ -98,7 +98,7 @@
         self.scan.saved.hard
     }
 
-    /// Whether `index` is synced here, in the folder of that member.
+    /// Whether this is the disk of `member` and has `index` synced.
     pub fn holds(&self, member: &Member, index: u64) -> bool {
         let saved = &self.scan.saved;
         let base = saved.snapshot.as_ref().map_or(0, |one| one.tail.index);
--- a/tests/common/fault.rs
+++ b/tests/common/fault.rs
@@ -1,7 +1,7 @@
 //! Faults, and how they strike.
 
 use super::Sim;
-use super::disk::Tail;
+use super::disk::Unsynced;
 use super::ms;
 use rand::Rng as _;
 
@@ -93,27 +93,27 @@
             Self::Reorder => sim.net.jitter = ms(300),
             Self::Delay => sim.net.jitter = ms(60),
             Self::LoseAnswers => sim.net.answers_lost = true,
-            Self::Kill => sim.kill(at, Tail::Lost),
-            Self::KillTorn => sim.kill(at, Tail::Torn),
-            Self::KillWritten => sim.kill(at, Tail::Kept),
+            Self::Kill => sim.kill(at, Unsynced::Lost),
+            Self::KillTorn => sim.kill(at, Unsynced::Torn),
+            Self::KillWritten => sim.kill(at, Unsynced::Kept),
             Self::BitFlip => {
-                sim.kill(at, Tail::Lost);
+                sim.kill(at, Unsynced::Lost);
                 let bit = sim.rng.random_range(0.0..1.0);
-                sim.vms[at].disk.rot(bit);
+                sim.vms[at].disk.flip_bit(bit);
             }
             Self::DiskFull => sim.vms[at].disk.full = true,
             Self::LoseDisk => {
-                sim.kill(at, Tail::Lost);
+                sim.kill(at, Unsynced::Lost);
                 sim.lose_disk(at);
             }
             Self::LoseDiskThenAnother => {
-                sim.kill(at, Tail::Lost);
+                sim.kill(at, Unsynced::Lost);
                 sim.lose_disk(at);
-                sim.lose = Some((at, (at + 1) % count));
+                sim.lose_next = Some((at, (at + 1) % count));
             }
             Self::RestartAll(order) => {
                 for one in 0..count {
-                    sim.kill(one, Tail::Torn);
+                    sim.kill(one, Unsynced::Torn);
                     let place = (one + order as usize) % count;
                     sim.restart_after(one, ms(100 + 700 * place as u64));
                 }
@@ -121,8 +121,8 @@
             Self::ClockJump => sim.jump(at, ms(60_000)),
             Self::ClockFast => sim.set_rate(at, 110),
             Self::KillTwo => {
-                sim.kill(at, Tail::Torn);
-                sim.kill((at + 1) % count, Tail::Lost);
+                sim.kill(at, Unsynced::Torn);
+                sim.kill((at + 1) % count, Unsynced::Lost);
             }
         }
         let lasts = match self {
--- a/tests/common/invariants.rs
+++ b/tests/common/invariants.rs
@@ -1,4 +1,4 @@
-//! What must always hold of the members in memory.
+//! Invariants of the simulated cluster.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use super::fault::Fault;
 
 impl Sim {
-    /// What must hold after every event.
+    /// Checks the invariants that hold after every event.
     pub fn check(&mut self, at: usize) {
         let vm = &self.vms[at];
         let replica = vm.replica.as_ref().expect("it runs");
@@ -28,13 +28,16 @@
         }
         for index in vm.applied + 1..=replica.applied() {
             if let Some(entry) = raft.log().get(index) {
-                let first = self.truth.entry(index).or_insert_with(|| entry.clone());
+                let first = self
+                    .first_applied
+                    .entry(index)
+                    .or_insert_with(|| entry.clone());
                 assert_eq!(first, entry, "members applied different entries at {index}");
             }
         }
         assert!(replica.applied() >= vm.applied, "the state was reverted");
         let (commit, applied) = (raft.commit(), replica.applied());
-        // Where members join by themselves, reads pass the log and nothing rests on a lease.
+        // With open admission, reads go through the log and do not rely on a lease.
         if self.open.is_none() && !matches!(self.plan, Some((_, Fault::ClockJump, _))) {
             let leases = (0..self.vms.len()).filter(|one| self.has_lease(*one));
             assert!(leases.count() <= 1, "two members hold a lease at once");
@@ -43,19 +46,19 @@
         self.vms[at].applied = applied;
     }
 
-    /// Whether a member would answer as the leader now.
+    /// Whether a member would serve reads as the leader now.
     pub fn has_lease(&self, at: usize) -> bool {
         let vm = &self.vms[at];
         let replica = vm.replica.as_ref().filter(|_| !vm.frozen);
-        replica.is_some_and(|one| one.raft().leads(self.local(at)))
+        replica.is_some_and(|one| one.raft().leads(self.local_time(at)))
     }
 
-    /// What a leader commits is synced on a quorum of members, each in the life that counts.
+    /// Checks that a committed entry is synced on a quorum, by the incarnations in the membership.
     fn check_quorum(&self, leader: &Replica) {
         let members = leader.raft().membership();
         let index = leader.raft().commit();
         let holders = members.voters.iter().filter(|one| {
-            let mut disks = self.vms.iter().map(|vm| &vm.disk).chain(&self.lost);
+            let mut disks = self.vms.iter().map(|vm| &vm.disk).chain(&self.lost_disks);
             disks.any(|disk| disk.holds(one, index))
         });
         let count = holders.count();
@@ -65,7 +68,7 @@
         );
     }
 
-    /// Nothing is promised before it is synced.
+    /// Checks that votes and acknowledgements are sent only after their sync.
     pub fn check_promise(&self, at: usize, message: &Envelope) {
         let disk = &self.vms[at].disk;
         match &message.body {
@@ -87,14 +90,13 @@
         }
     }
 
-    /// What must hold at the end: the results are those of one order in time, and every member
-    /// has come to the same state.
+    /// Checks at the end that all results are linearizable and every member has the same state.
     pub fn check_end(&self) {
         let mut state = State::default();
         let mut verdicts = BTreeMap::new();
-        let last = self.truth.keys().max().copied().unwrap_or(1);
+        let last = self.first_applied.keys().max().copied().unwrap_or(1);
         for index in 2..=last {
-            let entry = self.truth.get(&index).expect("the log has no gap");
+            let entry = self.first_applied.get(&index).expect("the log has no gap");
             if let log::Payload::Command {
                 wall_ms,
                 limits,
@@ -106,12 +108,13 @@
             }
         }
         for done in &self.done {
-            let is_it = |index: &u64| match &self.truth[index].payload {
+            let is_it = |index: &u64| match &self.first_applied[index].payload {
                 log::Payload::Command { command, .. } => *command == done.command,
                 _ => false,
             };
             let indexes = verdicts.keys().filter(|index| is_it(index));
-            // A change gets its first answer; other commands may be put again.
+            // A retried change gets the verdict of its first attempt. Other commands may take effect
+            // again.
             let is_change = matches!(done.command, Command::Configure(_));
             let mut indexes = indexes.take(if is_change { 1 } else { usize::MAX });
             let found =
--- a/tests/common/sim.rs
+++ b/tests/common/sim.rs
@@ -1,7 +1,7 @@
-//! Members in memory: the real decision code over a network, disks and clocks that fail as they
-//! are told to. All chance comes from one seed. Every event checks what must always hold.
+//! Simulation of a control cluster: the real state machines over a simulated network, disks and
+//! clocks with injected faults. Deterministic for a seed. Checks the invariants after every event.
 
-// Each test file uses its part of this.
+// Each test file uses only some of this.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -28,8 +28,8 @@
 pub mod disk;
 #[path = "fault.rs"]
 pub mod fault;
-#[path = "judge.rs"]
-mod judge;
+#[path = "invariants.rs"]
+mod invariants;
 #[path = "vms.rs"]
 mod vms;
 
@@ -47,26 +47,26 @@
     pub addr: SocketAddr,
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// Counts its lives as a process; what was meant for an older one is dropped.
+    /// Counts its processes. Events for an older process are dropped.
     epoch: u32,
     /// Added to its clock.
     jump: Duration,
     /// Speed of its clock in percent.
     rate: u32,
     pub frozen: bool,
-    /// How often it told that the suspects changed.
-    pub news: u32,
-    backlog: Vec<What>,
+    /// Number of `Output::Suspected`.
+    pub suspect_changes: u32,
+    backlog: Vec<Event>,
     writing: bool,
     commit: u64,
     applied: u64,
     revision: u64,
-    /// Never comes back.
+    /// Lost for good.
     pub gone: bool,
 }
 
 #[derive(Clone)]
-enum What {
+enum Event {
     Tick(usize, u32),
     Deliver(usize, Envelope),
     Synced(usize, u32),
@@ -77,16 +77,17 @@
     Restart(usize),
 }
 
-/// A client with one command after the other.
+/// A client that sends one command after the other.
 #[derive(Default)]
 struct Client {
-    left: VecDeque<Command>,
+    remaining: VecDeque<Command>,
     token: u64,
     asked: usize,
     /// Highest index acknowledged to anyone when the current command was first sent.
     floor: u64,
 }
 
+/// A command and its verdict.
 pub struct Done {
     pub client: usize,
     pub command: Command,
@@ -96,40 +97,40 @@
 
 #[derive(Default)]
 pub struct Net {
-    /// Nothing goes from the first to the second.
+    /// No messages get from the first to the second.
     pub cut: BTreeSet<(usize, usize)>,
     pub drop_percent: u32,
     pub copy_percent: u32,
-    /// Added to the time of each message, up to this.
+    /// Upper bound of the random delay added to each message.
     pub jitter: Duration,
     pub answers_lost: bool,
 }
 
 pub struct Sim {
     now: Duration,
-    queue: BTreeMap<(Duration, u64), What>,
-    number: u64,
+    queue: BTreeMap<(Duration, u64), Event>,
+    last_event: u64,
     pub rng: StdRng,
     pub vms: Vec<Vm>,
     pub net: Net,
     clients: Vec<Client>,
     pub done: Vec<Done>,
     /// Entries as first applied anywhere.
-    truth: BTreeMap<u64, log::Entry>,
+    first_applied: BTreeMap<u64, log::Entry>,
     leaders: BTreeMap<u64, Member>,
     acknowledged: u64,
-    lives: u64,
+    last_incarnation: u64,
     compact: usize,
-    /// Events so far at which a fault may strike.
+    /// Number of steps so far. A fault may strike at each.
     pub steps: u64,
     pub plan: Option<(u64, Fault, fault::Target)>,
     pub struck: bool,
-    /// Once the first, a new life, votes, the second is lost for good.
-    pub lose: Option<(usize, usize)>,
-    pub busy: bool,
-    /// What was acknowledged from these before their loss counted then.
-    lost: Vec<Disk>,
-    /// Members that found the cluster, and fewest voters, where others may join by themselves.
+    /// Once the first is a voter in its new incarnation, the second is lost for good.
+    pub lose_next: Option<(usize, usize)>,
+    pub fault_active: bool,
+    /// Disks that were lost. Acknowledgements from before the loss were valid then.
+    lost_disks: Vec<Disk>,
+    /// With open admission: number of founders, and minimum number of voters.
     pub open: Option<(usize, usize)>,
 }
 
@@ -138,38 +139,38 @@
         let mut sim = Self {
             now: ms(10_000),
             queue: BTreeMap::new(),
-            number: 0,
+            last_event: 0,
             rng: StdRng::seed_from_u64(seed),
             vms: Vec::new(),
             net: Net::default(),
             clients: Vec::new(),
             done: Vec::new(),
-            truth: BTreeMap::new(),
+            first_applied: BTreeMap::new(),
             leaders: BTreeMap::new(),
             acknowledged: 0,
-            lives: 0,
+            last_incarnation: 0,
             compact: 6_000,
             steps: 0,
             plan: None,
             struck: false,
-            lose: None,
-            busy: false,
-            lost: Vec::new(),
+            lose_next: None,
+            fault_active: false,
+            lost_disks: Vec::new(),
             open: None,
         };
-        sim.begin(members);
+        sim.start_all(members);
         sim
     }
 
-    /// A cluster that others may join by themselves, and that keeps `least` voters.
+    /// A cluster with open admission that keeps at least `least` voters.
     pub fn open(members: usize, least: usize, seed: u64) -> Self {
         let mut sim = Self::new(0, seed);
         sim.open = Some((members, least));
-        sim.begin(members);
+        sim.start_all(members);
         sim
     }
 
-    fn begin(&mut self, members: usize) {
+    fn start_all(&mut self, members: usize) {
         (0..members).for_each(|_| self.add_vm());
         (0..members).for_each(|at| self.start(at));
     }
@@ -183,11 +184,11 @@
             replica: None,
             disk: Disk::default(),
             epoch: 0,
-            // Clocks are finer than any unit on the wire, and differ there too.
+            // Clocks are finer than any unit on the wire, and differ by less than it too.
             jump: Duration::from_nanos(137 + at as u64),
             rate: 100,
             frozen: false,
-            news: 0,
+            suspect_changes: 0,
             backlog: Vec::new(),
             writing: false,
             commit: 0,
@@ -197,24 +198,25 @@
         });
     }
 
-    /// A client that puts these: its number.
+    /// Adds a client that sends these commands. Returns its number.
     pub fn add_client(&mut self, commands: Vec<Command>) -> usize {
         let client = Client {
-            left: commands.into(),
+            remaining: commands.into(),
             ..Client::default()
         };
         self.clients.push(client);
         let at = self.clients.len() - 1;
-        self.after(ms(at as u64 * 3), What::Ask(at));
+        self.after(ms(at as u64 * 3), Event::Ask(at));
         at
     }
 
-    fn after(&mut self, delay: Duration, what: What) {
-        self.number += 1;
-        self.queue.insert((self.now + delay, self.number), what);
+    fn after(&mut self, delay: Duration, event: Event) {
+        self.last_event += 1;
+        self.queue
+            .insert((self.now + delay, self.last_event), event);
     }
 
-    fn local(&self, at: usize) -> Duration {
+    fn local_time(&self, at: usize) -> Duration {
         let vm = &self.vms[at];
         self.now * vm.rate / 100 + vm.jump
     }
@@ -230,7 +232,8 @@
         terms.max().map(|(_, at)| at)
     }
 
-    /// One event at which a fault may strike. `false`: the process at hand was ended.
+    /// Counts a step and injects the planned fault if it is due. `false`: the fault ended this
+    /// process.
     fn step(&mut self, at: usize) -> bool {
         self.steps += 1;
         let epoch = self.vms[at].epoch;
@@ -244,17 +247,17 @@
         self.vms[at].epoch == epoch
     }
 
-    /// Runs until all clients are done and all members agree. `false`: not by `end`.
+    /// Runs until all clients are done and all members agree. `false`: not within `limit`.
     pub fn run(&mut self, limit: Duration) -> bool {
-        let end = self.now + limit;
-        while let Some(((at, _), what)) = self.queue.pop_first() {
+        let deadline = self.now + limit;
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
-            if self.now > end {
+            if self.now > deadline {
                 return false;
             }
-            let is_tick = matches!(what, What::Tick(..));
-            self.happen(what);
-            self.lose_if_repaired();
+            let is_tick = matches!(event, Event::Tick(..));
+            self.handle(event);
+            self.lose_next_if_rejoined();
             if is_tick && self.is_settled() {
                 return true;
             }
@@ -262,46 +265,46 @@
         false
     }
 
-    /// Runs until the planned fault has struck. `true`: all ended before that.
+    /// Runs until the planned fault has struck. `true`: the run settled or timed out before that.
     pub fn run_until_struck(&mut self, limit: Duration) -> bool {
-        let end = self.now + limit;
-        while let Some(((at, _), what)) = self.queue.pop_first() {
+        let deadline = self.now + limit;
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
-            self.happen(what);
+            self.handle(event);
             if self.struck {
                 return false;
             }
-            if self.is_settled() || self.now > end {
+            if self.is_settled() || self.now > deadline {
                 return true;
             }
         }
         true
     }
 
-    /// Runs until `done`. `false`: not by `limit`.
+    /// Runs until `done`. `false`: not within `limit`.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> bool {
-        let end = self.now + limit;
-        while let Some(((at, _), what)) = self.queue.pop_first() {
+        let deadline = self.now + limit;
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
-            self.happen(what);
+            self.handle(event);
             if done(self) {
                 return true;
             }
-            if self.now > end {
+            if self.now > deadline {
                 return false;
             }
         }
         false
     }
 
-    /// Puts a command to a member; nobody waits for its verdict.
+    /// Proposes a command to a member. No client waits for its verdict.
     pub fn propose(&mut self, at: usize, command: Command) {
-        let now = self.local(at);
+        let now = self.local_time(at);
         self.with(at, |replica| replica.propose(now, 0, u64::MAX, command));
     }
 
     pub fn hand_over(&mut self, at: usize) {
-        let now = self.local(at);
+        let now = self.local_time(at);
         self.with(at, |replica| {
             replica.hand_over(now);
         });
@@ -322,7 +325,7 @@
             .map_or(0, |one| one.raft().term())
     }
 
-    /// Changes of configuration that won.
+    /// Number of successful configuration changes.
     pub fn winners(&self) -> usize {
         let won = self.done.iter().filter(|done| {
             matches!(done.command, Command::Configure(_))
@@ -332,7 +335,10 @@
     }
 
     fn is_settled(&self) -> bool {
-        if self.busy || self.lose.is_some() || self.clients.iter().any(|one| !one.left.is_empty()) {
+        if self.fault_active
+            || self.lose_next.is_some()
+            || self.clients.iter().any(|one| !one.remaining.is_empty())
+        {
             return false;
         }
         let Some(leader) = self.leader() else {
@@ -352,28 +358,28 @@
             })
     }
 
-    fn happen(&mut self, what: What) {
-        let at = match &what {
-            What::Tick(at, _) | What::Deliver(at, _) | What::Synced(at, _) => *at,
-            What::Ask(client) => return self.ask(*client),
-            What::Resend(client, token) => return self.resend(*client, *token),
-            What::Answer(token, verdict) => return self.answer(*token, verdict.clone()),
-            What::Heal => return self.heal(),
-            What::Restart(at) => return self.start(*at),
+    fn handle(&mut self, event: Event) {
+        let at = match &event {
+            Event::Tick(at, _) | Event::Deliver(at, _) | Event::Synced(at, _) => *at,
+            Event::Ask(client) => return self.ask(*client),
+            Event::Resend(client, token) => return self.resend(*client, *token),
+            Event::Answer(token, verdict) => return self.answer(*token, verdict.clone()),
+            Event::Heal => return self.heal(),
+            Event::Restart(at) => return self.start(*at),
         };
         if self.vms[at].frozen {
-            return self.vms[at].backlog.push(what);
+            return self.vms[at].backlog.push(event);
         }
-        let now = self.local(at);
-        match what {
-            What::Tick(_, epoch) if epoch == self.vms[at].epoch => {
-                self.after(TICK, What::Tick(at, epoch));
+        let now = self.local_time(at);
+        match event {
+            Event::Tick(_, epoch) if epoch == self.vms[at].epoch => {
+                self.after(TICK, Event::Tick(at, epoch));
                 self.with(at, |replica| replica.tick(now));
             }
-            What::Deliver(_, env) if self.vms[at].replica.is_some() && self.step(at) => {
+            Event::Deliver(_, env) if self.vms[at].replica.is_some() && self.step(at) => {
                 self.with(at, |replica| replica.receive(now, env));
             }
-            What::Synced(_, epoch) if epoch == self.vms[at].epoch && self.step(at) => {
+            Event::Synced(_, epoch) if epoch == self.vms[at].epoch && self.step(at) => {
                 self.sync(at);
             }
             _ => {}
@@ -381,23 +387,23 @@
     }
 
     fn sync(&mut self, at: usize) {
-        let now = self.local(at);
+        let now = self.local_time(at);
         let epoch = self.vms[at].epoch;
         if self.vms[at].disk.full {
-            self.after(ms(100), What::Synced(at, epoch));
+            self.after(ms(100), Event::Synced(at, epoch));
             return self.with(at, |replica| replica.stall(now));
         }
         let seq = self.vms[at].disk.sync();
-        // Synced, and not yet reported.
+        // A fault may strike between the sync and its report.
         if self.step(at) {
             self.vms[at].writing = false;
             self.with(at, |replica| replica.synced(now, seq));
         }
     }
 
-    /// Feeds a process, and carries out what it decides.
+    /// Calls a process's replica and carries out the resulting writes, messages and outputs.
     fn with(&mut self, at: usize, feed: impl FnOnce(&mut Replica)) {
-        let now = self.local(at);
+        let now = self.local_time(at);
         let Some(replica) = &mut self.vms[at].replica else {
             return;
         };
@@ -418,8 +424,8 @@
             let epoch = vm.epoch;
             let slow = vm.disk.slow;
             let delay = Duration::from_micros(self.rng.random_range(300..2_000));
-            self.after(delay + slow, What::Synced(at, epoch));
-            // Written, and not yet synced.
+            self.after(delay + slow, Event::Synced(at, epoch));
+            // A fault may strike between the write and its sync.
             if !self.step(at) {
                 return;
             }
@@ -433,13 +439,13 @@
         for output in outputs {
             match output {
                 Output::Published => {}
-                Output::Suspected => self.vms[at].news += 1,
+                Output::Suspected => self.vms[at].suspect_changes += 1,
                 Output::Verdict(token, verdict) => {
                     if !self.step(at) {
                         return;
                     }
                     if !self.net.answers_lost {
-                        self.after(ms(1), What::Answer(token, verdict));
+                        self.after(ms(1), Event::Answer(token, verdict));
                     }
                 }
                 Output::Committed(revision) => {
@@ -451,9 +457,9 @@
         }
     }
 
-    /// Loses a second member for good as soon as the first one counts again.
-    fn lose_if_repaired(&mut self) {
-        let Some((back, second)) = self.lose else {
+    /// Loses a second member for good as soon as the first one is a voter again.
+    fn lose_next_if_rejoined(&mut self) {
+        let Some((back, second)) = self.lose_next else {
             return;
         };
         let Some(leader) = self.leader() else {
@@ -461,10 +467,10 @@
         };
         let raft = self.vms[leader].replica.as_ref().expect("it leads").raft();
         let vm = &self.vms[back];
-        let life = vm.replica.as_ref().map(|one| one.raft().me());
-        let counts = life.is_some() && raft.membership().voter_at(vm.addr) == life;
+        let member = vm.replica.as_ref().map(|one| one.raft().me());
+        let counts = member.is_some() && raft.membership().voter_at(vm.addr) == member;
         if counts && raft.commit() == raft.log().tail().index {
-            self.lose = None;
+            self.lose_next = None;
             self.lose_for_good(second);
         }
     }
@@ -475,18 +481,18 @@
         let Some(to) = to else {
             return;
         };
-        if self.net.cut.contains(&(from, to)) || self.rolls(self.net.drop_percent) {
+        if self.net.cut.contains(&(from, to)) || self.happens(self.net.drop_percent) {
             return;
         }
-        if self.rolls(self.net.copy_percent) {
+        if self.happens(self.net.copy_percent) {
             let delay = self.delay();
-            self.after(delay, What::Deliver(to, message.clone()));
+            self.after(delay, Event::Deliver(to, message.clone()));
         }
         let delay = self.delay();
-        self.after(delay, What::Deliver(to, message));
+        self.after(delay, Event::Deliver(to, message));
     }
 
-    fn rolls(&mut self, percent: u32) -> bool {
+    fn happens(&mut self, percent: u32) -> bool {
         percent > 0 && self.rng.random_range(0..100) < percent
     }
 
--- a/tests/consensus_matrix.rs
+++ b/tests/consensus_matrix.rs
@@ -1,4 +1,5 @@
-//! Every fault at every step, on three and five members in memory.
+//! Injects each kind of fault at each step of a short run, on three and five simulated members.
+//! Guards against lost or reverted data, and against a cluster that stops after the fault.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -34,7 +35,7 @@
     sim
 }
 
-/// Steps of a run without faults.
+/// Number of steps in a run without faults.
 fn steps(members: usize) -> u64 {
     let mut sim = prepare(members, 1);
     assert!(sim.run(ms(LIMIT)), "no progress without faults");
@@ -66,7 +67,9 @@
     };
     thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
-        let failed = threads.into_iter().map(|one| one.join().expect("a thread"));
+        let failed = threads
+            .into_iter()
+            .map(|thread| thread.join().expect("a thread"));
         failed.flatten().collect()
     })
 }
@@ -101,11 +104,11 @@
 }
 
 #[test]
-fn three_members() {
+fn progress_after_any_fault_of_three() {
     matrix(3, 1);
 }
 
 #[test]
-fn five_members() {
+fn progress_after_any_fault_of_five() {
     matrix(5, 5);
 }
--- a/tests/consensus_schedules.rs
+++ b/tests/consensus_schedules.rs
@@ -1,5 +1,5 @@
-//! Schedules of several faults, drawn from fixed seeds, on three and five members in memory;
-//! and many clients that race each other meanwhile.
+//! Random schedules of several faults from fixed seeds, on three and five simulated members, with
+//! many concurrent clients.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -23,13 +23,13 @@
 struct Schedule {
     seed: u64,
     members: usize,
-    /// Steps after the one before, fault, target.
+    /// Steps since the previous fault, the fault, its target.
     strikes: Vec<(u64, Fault, Target)>,
 }
 
-/// Faults that may come in any number and at any time. Those that take a disk come one at a
-/// time in the matrix: two at once are more than a minority of three.
-fn is_free(fault: Fault) -> bool {
+/// Whether a fault may overlap with others. Faults that destroy a disk are left to
+/// `consensus_matrix`, one at a time: two at once are not a minority of three.
+fn may_overlap(fault: Fault) -> bool {
     !matches!(
         fault,
         Fault::BitFlip | Fault::LoseDisk | Fault::LoseDiskThenAnother
@@ -40,7 +40,7 @@
     let faults: Vec<Fault> = Fault::ALL
         .iter()
         .copied()
-        .filter(|one| is_free(*one))
+        .filter(|one| may_overlap(*one))
         .collect();
     let fault = proptest::sample::select(faults);
     let target = proptest::sample::select(vec![Target::Here, Target::Next]);
@@ -64,7 +64,7 @@
         sim.plan = strike.map(|(after, fault, target)| (sim.steps + after, *fault, *target));
         strike.is_some()
     };
-    // The next fault is set when one has struck, so they overlap as often as not.
+    // The next fault is planned as soon as the previous one has struck, so faults often overlap.
     while next(&mut sim) {
         sim.struck = false;
         if sim.run_until_struck(ms(LIMIT)) {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn drawn_schedules() {
+fn progress_after_overlapping_faults() {
     const SEED: [u8; 32] = *b"wigeonbarrow consensus schedules";
     const CASES: u32 = 400;
     println!(
@@ -103,9 +103,10 @@
     println!("schedules: {strikes} faults");
 }
 
-/// 50 clients race for the same revisions and claims while members are cut off.
+/// 50 clients compete for the same revisions and claims while members are cut off. Exactly one
+/// change for each expected revision may succeed.
 #[test]
-fn fifty_clients() {
+fn one_winner_of_concurrent_changes() {
     for members in [3, 5] {
         let mut sim = Sim::new(members, 50);
         for commands in work::racing(50, 2) {
@@ -141,10 +142,10 @@
     }
 }
 
-/// A member misses so many changes that the others no longer hold the entries: it gets a
-/// snapshot, then the rest.
+/// A member misses so many changes that the others have dropped the entries: it must catch up with
+/// a snapshot and the entries after it.
 #[test]
-fn missed_changes() {
+fn lagging_member_gets_snapshot() {
     for fault in [Fault::LongSilence, Fault::LongFreeze] {
         let mut sim = Sim::new(3, 9);
         let has_leader = |sim: &Sim| sim.leader().is_some_and(|at| sim.has_lease(at));
@@ -172,10 +173,10 @@
     }
 }
 
-/// One member is cut off while the cluster is founded with it, and the founder is lost for good
-/// before the cut ends: the two that are left go on.
+/// One member is cut off while the cluster is founded, and the founder is lost for good before the
+/// cut ends. The other two must continue.
 #[test]
-fn late_birth() {
+fn founder_lost_before_last_member_joins() {
     let mut sim = Sim::new(3, 4);
     let is_founded = |sim: &Sim| {
         let founder = sim.vms[0].replica.as_ref();
--- a/tests/consensus_votes.rs
+++ b/tests/consensus_votes.rs
@@ -1,4 +1,4 @@
-//! Single decisions of one member, message by message.
+//! Single decisions of one member, tested message by message.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 
 const CLUSTER: u128 = 9;
 const START: Duration = Duration::from_secs(10);
-/// Long after any promise to a leader has ended.
+/// Long after any leader's lease has ended.
 const LATER: Duration = Duration::from_secs(20);
 
-fn one(number: u8) -> Member {
+fn member_at(number: u8) -> Member {
     Member {
         addr: SocketAddr::from(([10, 0, 0, number], 7_000)),
         life: id::Incarnation(u64::from(number)),
     }
 }
 
-/// A folder of the first of three members, with a log of these terms from index 2.
+/// Saved data of the first of three members. Its log has these terms from index 2 on.
 fn saved(term: u64, terms: &[u64]) -> log::Saved {
     let entries = terms.iter().zip(2..).map(|(term, index)| log::Entry {
         index,
@@ -45,7 +45,7 @@
             tail: Tail { term: 1, index: 1 },
             clock_ms: 0,
             members: member::Membership {
-                voters: (1..=3).map(one).collect(),
+                voters: (1..=3).map(member_at).collect(),
                 ..member::Membership::default()
             },
             state: Vec::new(),
@@ -57,8 +57,8 @@
 
 fn raft(saved: log::Saved) -> Raft {
     let settings = consensus::Settings {
-        me: one(1),
-        founders: (1..=3).map(|number| one(number).addr).collect(),
+        me: member_at(1),
+        founders: (1..=3).map(|number| member_at(number).addr).collect(),
         seed: 1,
         timing: consensus::Timing::default(),
         may_found: true,
@@ -70,8 +70,8 @@
 fn from(number: u8, term: u64, body: Body) -> Envelope {
     Envelope {
         cluster: CLUSTER,
-        from: one(number),
-        to: one(1),
+        from: member_at(number),
+        to: member_at(1),
         term,
         body,
     }
@@ -86,14 +86,14 @@
     from(number, term, Body::Vote { tail, handover })
 }
 
-/// Writes and syncs all there is.
+/// Completes all pending writes.
 fn sync(raft: &mut Raft) {
     while let Some(write) = raft.take_write() {
         raft.synced(LATER, write.seq);
     }
 }
 
-/// Whether the vote asked for is given, once all is synced.
+/// Whether the requested vote is granted, once everything is synced.
 fn granted(raft: &mut Raft, env: Envelope) -> bool {
     raft.receive(LATER, env);
     sync(raft);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn shorter_log() {
+fn vote_for_outdated_log() {
     // Its log: terms 1, 2, 3 up to index 4.
     let fresh = || raft(saved(3, &[2, 3, 3]));
     assert!(!granted(&mut fresh(), vote(2, 4, (3, 3))), "shorter");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn one_vote() {
+fn second_vote_in_term() {
     let mut raft = raft(saved(1, &[]));
     assert!(granted(&mut raft, vote(2, 2, (1, 1))));
     assert!(
@@ -127,19 +127,19 @@
 }
 
 #[test]
-fn synced_vote() {
+fn vote_sent_before_sync() {
     let mut raft = raft(saved(1, &[]));
     raft.receive(LATER, vote(2, 2, (1, 1)));
     assert!(raft.take_messages().is_empty(), "sent before it is written");
     let write = raft.take_write().expect("the vote is written");
-    assert_eq!(write.hard.and_then(|hard| hard.vote), Some(one(2)));
+    assert_eq!(write.hard.and_then(|hard| hard.vote), Some(member_at(2)));
     assert!(raft.take_messages().is_empty(), "sent before it is synced");
     raft.synced(LATER, write.seq);
     assert_eq!(raft.take_messages().len(), 1);
 }
 
 #[test]
-fn bound_voter() {
+fn vote_during_lease() {
     let mut raft = raft(saved(1, &[]));
     let append = Body::Append {
         prev: Tail { term: 1, index: 1 },
@@ -159,17 +159,20 @@
 }
 
 #[test]
-fn other_life() {
+fn message_for_lost_folder() {
     let mut raft = raft(saved(1, &[]));
     let mut env = vote(2, 2, (1, 1));
     env.to.life = id::Incarnation(77);
-    assert!(!granted(&mut raft, env), "it was for a lost folder's life");
+    assert!(
+        !granted(&mut raft, env),
+        "it was for a lost folder's incarnation"
+    );
     let mut env = vote(2, 2, (1, 1));
     env.cluster = CLUSTER + 1;
     assert!(!granted(&mut raft, env), "it was of another cluster");
 }
 
-/// Elects the member in the next term.
+/// Has the member win the election of the next term. Returns this term.
 fn elect(raft: &mut Raft) -> u64 {
     raft.tick(LATER);
     let term = raft.term() + 1;
@@ -195,9 +198,9 @@
 }
 
 #[test]
-fn former_terms() {
-    // Entries of former terms, also on a quorum, may yet be replaced: only one of the leader's
-    // own term commits them.
+fn commit_by_count_of_former_term() {
+    // Entries of former terms may be replaced even when a quorum holds them. They are committed
+    // only together with an entry of the leader's own term.
     let mut raft = raft(saved(3, &[2, 2]));
     let term = elect(&mut raft);
     sync(&mut raft);
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn unsynced_leader() {
+fn commit_with_unsynced_leader() {
     let mut raft = raft(saved(3, &[2, 2]));
     let term = elect(&mut raft);
     raft.receive(LATER, appended(term, 4));
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn stalled_disk() {
+fn promise_with_stalled_disk() {
     let mut raft = raft(saved(3, &[2, 2]));
     let term = elect(&mut raft);
     raft.stall(LATER);
@@ -237,7 +240,7 @@
         )
     });
     assert_eq!(promises.count(), 0);
-    // Its vote was refused, not delayed.
+    // Its vote was rejected, not delayed.
     sync(&mut raft);
     let votes = raft.take_messages();
     assert!(
@@ -248,8 +251,8 @@
 }
 
 #[test]
-fn replaced_entries() {
-    // Entries 3 and 4 were synced, then replaced by others that are not.
+fn acknowledgement_of_replaced_entries() {
+    // Entries 3 and 4 were synced, then replaced by entries that are not synced yet.
     let mut raft = raft(saved(3, &[2, 2, 2]));
     let append = |prev: (u64, u64), entries: &[u64]| {
         let (term, index) = prev;
@@ -281,21 +284,22 @@
 }
 
 #[test]
-fn empty_member() {
-    // One without a cluster answers nobody but a leader that sends it a snapshot.
+fn vote_without_cluster() {
+    // A member without a cluster answers only a leader that sends it a snapshot.
     let mut raft = raft(log::Saved::default());
     assert!(!granted(&mut raft, vote(2, 2, (5, 5))));
     raft.tick(LATER);
     assert_matches!(raft.role(), Role::Unborn);
-    let hails = raft.take_messages();
-    assert!(hails.iter().all(|env| env.body == Body::Hail));
-    assert!(!hails.is_empty());
+    let messages = raft.take_messages();
+    assert!(messages.iter().all(|env| env.body == Body::Hail));
+    assert!(!messages.is_empty());
 }
 
-/// Of two that ask at once the one with the longer log, or else the higher address, goes on: if
-/// both went on, each would vote for itself and a whole timeout would be lost.
+/// Of two simultaneous pre-candidates, the one with the more recent log continues, or else the one
+/// with the higher address. If both continued, each would vote for itself, which costs a whole
+/// election timeout.
 #[test]
-fn asked_at_once() {
+fn simultaneous_pre_votes() {
     for (other, terms, yields) in [(2, &[2, 3][..], true), (2, &[2, 3, 3][..], false)] {
         let mut raft = raft(saved(3, terms));
         raft.tick(LATER);
@@ -311,10 +315,10 @@
     }
 }
 
-/// Whoever helped another into the next term while its own vote was being synced made that vote
-/// void, and its sync was lost.
+/// A member must not grant a pre-vote while its own vote is being synced: a new term would void
+/// that vote, and the time for the sync would be wasted.
 #[test]
-fn unsynced_vote_helps_nobody() {
+fn pre_vote_during_unsynced_vote() {
     let helps = |raft: &mut Raft| {
         let tail = Tail { term: 1, index: 1 };
         let ask = Body::PreVote { term: 3, tail };
--- a/tests/disk_return.rs
+++ b/tests/disk_return.rs
@@ -1,8 +1,9 @@
-//! A member that lost its disk comes back: once it says that it votes, one more disk may be lost.
+//! A member that lost its disk returns: once it reports that it is a voter, one more disk may be
+//! lost. The failure would be a report that comes before the membership is committed.
 //!
-//! At each moment of its way from unborn over learner to voter, a process is restarted or a change is
-//! made; from the moment of its word on, the disk of another is lost. What was acknowledged stays, and
-//! the members go on.
+//! At each step from uninitialized over learner to voter, a process is restarted or a change is made.
+//! From the report on, the disk of another member is lost. Acknowledged data must stay, and the
+//! cluster must recover.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -13,7 +14,7 @@
 use std::time::Duration;
 
 use sim::Sim;
-use sim::disk::Tail;
+use sim::disk::Unsynced;
 use sim::ms;
 use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::wire::agree::Command;
@@ -22,51 +23,56 @@
 
 const LIMIT: Duration = ms(60_000);
 
-/// Six election timeouts of 0.8 s, as for any series of losses.
-const GO_ON: Duration = ms(4_800);
+/// Six election timeouts of 0.8 s, as in `open_schedules`.
+const RECOVERY: Duration = ms(4_800);
 
-/// Time after which a process that was ended runs again.
+/// Time until a killed process is restarted.
 const RESTART: Duration = ms(100);
 
-/// What happens beside the second lost disk.
+/// Power losses at the same time as the second disk loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Beside {
+enum Concurrent {
     Nothing,
-    /// The one that came back loses its power with what it has not synced.
-    Returned(Tail),
-    /// The third one does.
-    Third(Tail),
-    /// Both do.
-    Both(Tail),
+    /// The returned member loses power; its unsynced writes are lost or kept.
+    Returned(Unsynced),
+    /// The third member loses power.
+    Third(Unsynced),
+    /// Both lose power.
+    Both(Unsynced),
 }
 
-const BESIDE: [Beside; 7] = [
-    Beside::Nothing,
-    Beside::Returned(Tail::Lost),
-    Beside::Returned(Tail::Kept),
-    Beside::Third(Tail::Lost),
-    Beside::Third(Tail::Kept),
-    Beside::Both(Tail::Lost),
-    Beside::Both(Tail::Kept),
+const CONCURRENT: [Concurrent; 7] = [
+    Concurrent::Nothing,
+    Concurrent::Returned(Unsynced::Lost),
+    Concurrent::Returned(Unsynced::Kept),
+    Concurrent::Third(Unsynced::Lost),
+    Concurrent::Third(Unsynced::Kept),
+    Concurrent::Both(Unsynced::Lost),
+    Concurrent::Both(Unsynced::Kept),
 ];
 
-/// What happens on the way, at some step of it.
+/// What disturbs the return, at some step of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Disturbance {
     Calm,
     Change,
     Restart,
-    /// The leader ends, and comes back.
+    /// The leader is restarted.
     Leader,
 }
 
-const WAYS: [Way; 4] = [Way::Calm, Way::Change, Way::Restart, Way::Leader];
+const DISTURBANCES: [Disturbance; 4] = [
+    Disturbance::Calm,
+    Disturbance::Change,
+    Disturbance::Restart,
+    Disturbance::Leader,
+];
 
 struct Case {
     sim: Sim,
     /// Newest version sent.
     version: u64,
-    /// Whoever lost its disk first.
+    /// The VM whose disk was lost first.
     empty: usize,
 }
 
@@ -75,14 +81,14 @@
     Command::Publish(Document { version, packed })
 }
 
-fn says_that_it_votes(sim: &Sim, at: usize) -> bool {
+fn reports_voter(sim: &Sim, at: usize) -> bool {
     let replica = sim.vms[at].replica.as_ref();
     let standing = replica.map(|one| one.raft().role());
     matches!(standing, Some(Role::Follower | Role::Leader))
 }
 
 impl Case {
-    /// Three members, of which the leader or another has just lost its disk.
+    /// Three members. The leader or another one has just lost its disk.
     fn new(seed: u64, leader_first: bool) -> Self {
         let mut sim = Sim::open(3, 3, seed);
         sim.add_client(vec![publish(1), publish(2)]);
@@ -93,7 +99,7 @@
         } else {
             (leader + 1) % 3
         };
-        sim.kill(empty, Tail::Lost);
+        sim.kill(empty, Unsynced::Lost);
         sim.lose_disk(empty);
         sim.restart_after(empty, RESTART);
         Self {
@@ -108,51 +114,49 @@
         self.sim.add_client(vec![publish(self.version)]);
     }
 
-    fn power(&mut self, at: usize, tail: Tail) {
+    fn power(&mut self, at: usize, tail: Unsynced) {
         self.sim.kill(at, tail);
         self.sim.restart_after(at, RESTART);
     }
 
-    /// Lets `count` steps pass, or fewer if the one that came back votes before that.
+    /// Runs `count` steps, or fewer if the returned member becomes a voter before that.
     fn steps(&mut self, count: u64) {
         let end = self.sim.steps + count;
         let empty = self.empty;
         self.sim.run_until(LIMIT, |sim| {
-            sim.steps >= end || (sim.vms[empty].replica.is_some() && says_that_it_votes(sim, empty))
+            sim.steps >= end || (sim.vms[empty].replica.is_some() && reports_voter(sim, empty))
         });
     }
 
-    fn happen(&mut self, way: Way) {
-        match way {
-            Way::Calm => {}
-            Way::Change => self.change(),
-            Way::Restart => {
-                // Before it runs again for the first time there is nothing to end.
+    fn disturb(&mut self, disturbance: Disturbance) {
+        match disturbance {
+            Disturbance::Calm => {}
+            Disturbance::Change => self.change(),
+            Disturbance::Restart => {
+                // Before its first restart there is no process to kill.
                 if self.sim.vms[self.empty].replica.is_some() {
-                    self.power(self.empty, Tail::Lost);
+                    self.power(self.empty, Unsynced::Lost);
                 }
             }
-            Way::Leader => {
+            Disturbance::Leader => {
                 if let Some(leader) = self.sim.leader() {
-                    self.power(leader, Tail::Lost);
+                    self.power(leader, Unsynced::Lost);
                 }
             }
         }
     }
 
-    /// Waits for the word of the one that came back, and `after` steps more.
-    fn until_word(&mut self, after: u64) {
+    /// Runs until the returned member reports that it is a voter, and `after` more steps.
+    fn run_until_voter(&mut self, after: u64) {
         let empty = self.empty;
-        let voted = self
-            .sim
-            .run_until(LIMIT, |sim| says_that_it_votes(sim, empty));
+        let voted = self.sim.run_until(LIMIT, |sim| reports_voter(sim, empty));
         assert!(voted, "it never votes");
         let end = self.sim.steps + after;
         self.sim.run_until(LIMIT, |sim| sim.steps >= end);
     }
 
-    /// The disk of the leader or of the other one is lost.
-    fn lose_next(&mut self, loses_leader: bool, beside: Beside) {
+    /// Destroys the disk of the leader or of the other member.
+    fn lose_next(&mut self, loses_leader: bool, concurrent: Concurrent) {
         let others: Vec<usize> = (0..3).filter(|at| *at != self.empty).collect();
         let leader = self.sim.leader().filter(|at| *at != self.empty);
         let first = leader.unwrap_or(others[0]);
@@ -162,14 +166,14 @@
         } else {
             (second, first)
         };
-        self.sim.kill(lost, Tail::Lost);
+        self.sim.kill(lost, Unsynced::Lost);
         self.sim.lose_disk(lost);
         self.sim.restart_after(lost, RESTART);
-        let (returned, third, tail) = match beside {
-            Beside::Nothing => return,
-            Beside::Returned(tail) => (Some(self.empty), None, tail),
-            Beside::Third(tail) => (None, Some(third), tail),
-            Beside::Both(tail) => (Some(self.empty), Some(third), tail),
+        let (returned, third, tail) = match concurrent {
+            Concurrent::Nothing => return,
+            Concurrent::Returned(tail) => (Some(self.empty), None, tail),
+            Concurrent::Third(tail) => (None, Some(third), tail),
+            Concurrent::Both(tail) => (Some(self.empty), Some(third), tail),
         };
         for at in returned.into_iter().chain(third) {
             self.power(at, tail);
@@ -184,12 +188,12 @@
         versions.max().unwrap_or_default()
     }
 
-    /// Whether the newest is read in time, and is no older than what was acknowledged.
-    fn goes_on(&mut self) -> Result<(), String> {
+    /// Checks that the newest version is read in time and is not older than an acknowledged one.
+    fn check_recovered(&mut self) -> Result<(), String> {
         let held = self.acknowledged();
         let client = self.sim.add_client(vec![Command::Newest]);
         let answered = |sim: &Sim| sim.done.iter().any(|one| one.client == client);
-        self.sim.run_until(GO_ON, answered);
+        self.sim.run_until(RECOVERY, answered);
         let read = self.sim.done.iter().find(|one| one.client == client);
         let Some(read) = read else {
             return Err(format!("nobody reads {held}"));
@@ -201,30 +205,34 @@
     }
 }
 
-/// Plays all of a kind: how many cases, and what failed.
+/// Runs all combinations. Returns the number of cases, and the failures.
 fn play(seeds: Range<u64>, step_each: usize, after: &[u64]) -> (usize, Vec<String>) {
     let mut count = 0;
     let mut failed = Vec::new();
     for seed in seeds {
         for leader_first in [false, true] {
-            for way in WAYS {
-                let moments = if way == Way::Calm { 1 } else { 120 };
+            for disturbance in DISTURBANCES {
+                let moments = if disturbance == Disturbance::Calm {
+                    1
+                } else {
+                    120
+                };
                 for moment in (0..moments).step_by(step_each) {
                     for &after in after {
-                        for (at, beside) in BESIDE.into_iter().enumerate() {
-                            // The lost disk is the leader's and the other's in turn.
+                        for (at, concurrent) in CONCURRENT.into_iter().enumerate() {
+                            // Alternates which disk is lost first: the leader's or the other's.
                             for loses_leader in [at % 2 == 0, at % 2 != 0] {
                                 let mut case = Case::new(seed, leader_first);
                                 case.steps(moment);
-                                case.happen(way);
-                                case.until_word(after);
-                                case.lose_next(loses_leader, beside);
+                                case.disturb(disturbance);
+                                case.run_until_voter(after);
+                                case.lose_next(loses_leader, concurrent);
                                 count += 1;
-                                if let Err(why) = case.goes_on() {
+                                if let Err(why) = case.check_recovered() {
                                     failed.push(format!(
-                                        "seed {seed} leader first {leader_first} {way:?} at {moment}, \
+                                        "seed {seed} leader first {leader_first} {disturbance:?} at {moment}, \
                                          {after} steps after its word, leader {loses_leader} lost, \
-                                         {beside:?}: {why}"
+                                         {concurrent:?}: {why}"
                                     ));
                                 }
                             }
@@ -238,7 +246,7 @@
 }
 
 #[test]
-fn word_outruns_commit() {
+fn voter_reported_before_commit() {
     let (count, failed) = play(0..2, 11, &[0, 1, 2, 3, 5, 8, 13, 30]);
     for one in failed.iter().take(20) {
         println!("{one}");
--- a/tests/leader_lease.rs
+++ b/tests/leader_lease.rs
@@ -1,4 +1,5 @@
-//! A leader that is cut off in silence stops answering as one, and its return disturbs nobody.
+//! A leader that is cut off must stop acting as leader in time, and the return of a member that was
+//! cut off must not cause an election.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -18,16 +19,11 @@
 }
 
 fn role(sim: &Sim, at: usize) -> Role {
-    sim.vms[at]
-        .replica
-        .as_ref()
-        .expect("it runs")
-        .raft()
-        .role()
+    sim.vms[at].replica.as_ref().expect("it runs").raft().role()
 }
 
 #[test]
-fn cut_leader() {
+fn lease_outlasts_cut() {
     for fault in [Fault::LongSilence, Fault::CutIn] {
         let (mut sim, leader) = elected(3);
         let election = Timing::default().election;
@@ -46,12 +42,15 @@
 }
 
 #[test]
-fn calm_return() {
+fn return_unseats_leader() {
     let (mut sim, leader) = elected(3);
     let cut = (leader + 1) % 3;
     let term = sim.term(leader);
     Fault::LongSilence.strike(&mut sim, cut);
-    assert!(sim.run_until(ms(60_000), |sim| !sim.busy), "the cut ends");
+    assert!(
+        sim.run_until(ms(60_000), |sim| !sim.fault_active),
+        "the cut ends"
+    );
     let later = sim.now() + ms(10_000);
     assert!(sim.run_until(ms(20_000), |sim| sim.now() >= later));
     assert_eq!(sim.leader(), Some(leader), "its return unseats the leader");
@@ -60,7 +59,7 @@
 }
 
 #[test]
-fn handed_over() {
+fn handover_waits_for_timeout() {
     let (mut sim, leader) = elected(3);
     let before = sim.now();
     sim.hand_over(leader);
--- a/tests/log_recovery.rs
+++ b/tests/log_recovery.rs
@@ -1,4 +1,4 @@
-//! The data folder: what it holds after crashes, rot, loss and growth.
+//! The data folder after crashes, corruption, loss and growth.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn open(path: &Path, life: u64) -> Result<disk::Opened, disk::Error> {
-    disk::Disk::open(path, addr(7_000), id::Incarnation(life))
+fn open(path: &Path, incarnation: u64) -> Result<disk::Opened, disk::Error> {
+    disk::Disk::open(path, addr(7_000), id::Incarnation(incarnation))
 }
 
 fn entry(index: u64, term: u64) -> log::Entry {
@@ -64,7 +64,7 @@
     names.find(is_log).expect("a log file")
 }
 
-/// Last index that a folder with entries 1 to 5 in two writes holds.
+/// Writes entries 1 to 5 in two writes. Returns the content of the log file.
 fn written(path: &Path) -> Vec<u8> {
     let mut opened = open(path, 1).expect("it opens");
     opened.disk.write(&[entries(1, 1..=3, 1)]).expect("written");
@@ -79,13 +79,13 @@
     let bytes = written(dir.path());
     let whole = record::scan(&bytes).expect("whole");
     assert_eq!(whole.saved.entries.len(), 5);
-    // Cut at any byte: a prefix of the entries is left, and what follows is written after it.
+    // Cut at any byte: a prefix of the entries remains, and new entries are written after it.
     for len in 0..bytes.len() {
         let scan = record::scan(&bytes[..len]).expect("a torn tail is cut off");
         let left = scan.saved.entries;
         assert_eq!(left, whole.saved.entries[..left.len()]);
         assert!(scan.len <= len);
-        // The tail may also have grown without its bytes.
+        // The file may also have been extended with zeros instead of its content.
         let mut zeros = bytes[..scan.len].to_vec();
         zeros.resize(bytes.len().max(scan.len + 1), 0);
         let scan = record::scan(&zeros).expect("zeros are cut off");
@@ -104,18 +104,18 @@
 }
 
 #[test]
-fn flipped_bit() {
+fn flipped_bit_unnoticed() {
     let dir = tempfile::tempdir().expect("a folder");
     let bytes = written(dir.path());
     for bit in 0..bytes.len() * 8 {
-        let mut rotten = bytes.clone();
-        rotten[bit / 8] ^= 1 << (bit % 8);
-        assert!(record::scan(&rotten).is_err(), "bit {bit} went unseen");
+        let mut corrupt = bytes.clone();
+        corrupt[bit / 8] ^= 1 << (bit % 8);
+        assert!(record::scan(&corrupt).is_err(), "bit {bit} went unseen");
     }
-    let mut rotten = bytes.clone();
-    rotten[bytes.len() / 2] ^= 4;
-    fs::write(log_file(dir.path()), rotten).expect("rotten");
-    let err = open(dir.path(), 2).expect_err("it is refused");
+    let mut corrupt = bytes.clone();
+    corrupt[bytes.len() / 2] ^= 4;
+    fs::write(log_file(dir.path()), corrupt).expect("corrupt");
+    let err = open(dir.path(), 2).expect_err("it is rejected");
     assert_matches!(&err, disk::Error::Corrupt(..));
     let text = err.to_string();
     assert!(text.contains("corrupt at byte"), "{text}");
@@ -161,7 +161,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let mut opened = open(dir.path(), 1).expect("it opens");
     opened.disk.write(&[entries(1, 1..=3, 1)]).expect("written");
-    // The next generation cannot be written: nothing of it counts, and it may be tried again.
+    // The next generation cannot be written: none of it takes effect, and it can be retried.
     let blocked = dir.path().join("new");
     fs::create_dir(&blocked).expect("in the way");
     let write = snapshot(2, 2, 3..=5);
@@ -183,7 +183,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let mut opened = open(dir.path(), 1).expect("it opens");
     opened.disk.write(&[entries(1, 1..=3, 1)]).expect("written");
-    // The process ended while it wrote the next generation: that one never counts.
+    // The process ended while it wrote the next generation, which must be ignored.
     fs::write(dir.path().join("new"), b"half").expect("written");
     drop(opened);
     let opened = open(dir.path(), 2).expect("it opens");
@@ -202,7 +202,7 @@
     assert_eq!(
         opened.me.life,
         id::Incarnation(1),
-        "the folder keeps its life"
+        "the folder keeps its incarnation"
     );
     drop(opened);
     fs::remove_dir_all(&data).expect("lost");
--- a/tests/open_members.rs
+++ b/tests/open_members.rs
@@ -1,5 +1,5 @@
-//! Members that join and leave by themselves: no loss, in whatever series, loses what was
-//! acknowledged, and none of them waits for an operator.
+//! Open admission, where members join and leave by themselves: no series of single losses may lose
+//! acknowledged data or need an operator.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -7,7 +7,7 @@
 mod work;
 
 use sim::Sim;
-use sim::disk::Tail;
+use sim::disk::Unsynced;
 use sim::ms;
 use wigeonbarrow::control::consensus::Role;
 use wigeonbarrow::wire::agree::Command;
@@ -46,7 +46,7 @@
     move |sim: &Sim| sim.leader().is_some() && voters(sim) == expected
 }
 
-fn goes_on(sim: &mut Sim, from: u64) {
+fn assert_progress(sim: &mut Sim, from: u64) {
     sim.add_client(
         (from..from + 10)
             .map(|key| work::claim(key, u128::from(key)))
@@ -67,12 +67,12 @@
             sim.run_until(LIMIT, has_voters(&[0, 1, 2, 3])),
             "seed {seed}"
         );
-        goes_on(&mut sim, 100);
+        assert_progress(&mut sim, 100);
     }
 }
 
 #[test]
-fn lost_replaced() {
+fn lost_voter_replaced() {
     for seed in 0..20 {
         for lost in 0..3 {
             let mut sim = cluster(seed);
@@ -85,11 +85,11 @@
                 sim.run_until(LIMIT, has_voters(&left)),
                 "seed {seed} lost {lost}"
             );
-            goes_on(&mut sim, 100);
-            // The next loss is borne too, with a successor only afterwards.
+            assert_progress(&mut sim, 100);
+            // The next loss is tolerated too, with a replacement only afterwards.
             let next = left[0];
             sim.lose_for_good(next);
-            goes_on(&mut sim, 200);
+            assert_progress(&mut sim, 200);
             sim.add_vm();
             sim.start(4);
             left.retain(|at| *at != next);
@@ -98,7 +98,7 @@
                 sim.run_until(LIMIT, has_voters(&left)),
                 "seed {seed} lost {lost}, {next}"
             );
-            goes_on(&mut sim, 300);
+            assert_progress(&mut sim, 300);
         }
     }
 }
@@ -108,27 +108,27 @@
     for seed in 0..20 {
         let mut sim = cluster(seed);
         for lost in [0, 1, 2, 0] {
-            sim.kill(lost, Tail::Lost);
+            sim.kill(lost, Unsynced::Lost);
             sim.lose_disk(lost);
             sim.start(lost);
             assert!(sim.run_until(LIMIT, has_voters(&[0, 1, 2])));
-            let life_counts = move |sim: &Sim| {
+            let is_voter = move |sim: &Sim| {
                 let replica = sim.vms[lost].replica.as_ref().expect("it runs");
                 matches!(replica.raft().role(), Role::Follower | Role::Leader)
             };
-            assert!(sim.run_until(LIMIT, life_counts), "seed {seed}");
+            assert!(sim.run_until(LIMIT, is_voter), "seed {seed}");
         }
-        goes_on(&mut sim, 100);
+        assert_progress(&mut sim, 100);
     }
 }
 
 #[test]
-fn short_absence() {
+fn voter_removed_during_restart() {
     let mut sim = cluster(3);
     for at in 0..3 {
-        sim.kill(at, Tail::Kept);
+        sim.kill(at, Unsynced::Kept);
         sim.restart_after(at, ms(6_000));
-        goes_on(&mut sim, 100 * (at as u64 + 1));
+        assert_progress(&mut sim, 100 * (at as u64 + 1));
         let back = move |sim: &Sim| sim.vms[at].replica.is_some();
         assert!(sim.run_until(LIMIT, back));
         assert!(
@@ -139,18 +139,19 @@
 }
 
 #[test]
-fn spare_voter_leaves() {
+fn silent_spare_voter_stays() {
     let mut sim = Sim::open(4, 3, 5);
     assert!(sim.run_until(LIMIT, has_voters(&[0, 1, 2, 3])));
     sim.lose_for_good(2);
     assert!(sim.run_until(LIMIT, has_voters(&[0, 1, 3])));
     sim.lose_for_good(0);
-    goes_on(&mut sim, 100);
+    assert_progress(&mut sim, 100);
 }
 
-/// All end at once: what was acknowledged is known again, and soon.
+/// All members are killed at once: after their restart, a leader with all acknowledged data must
+/// be elected soon.
 #[test]
-fn all_killed() {
+fn document_lost_when_all_killed() {
     for seed in 0..20 {
         let mut sim = cluster(seed);
         sim.add_client(vec![publish(3), publish(7), publish(5)]);
@@ -162,7 +163,7 @@
             done.count() == 3
         };
         assert!(sim.run_until(LIMIT, published));
-        (0..3).for_each(|at| sim.kill(at, Tail::Lost));
+        (0..3).for_each(|at| sim.kill(at, Unsynced::Lost));
         let killed = sim.now();
         (0..3).for_each(|at| sim.start(at));
         let leads = |sim: &Sim| {
--- a/tests/open_schedules.rs
+++ b/tests/open_schedules.rs
@@ -1,9 +1,10 @@
-//! Series of losses, drawn from seeds, on members that join and leave by themselves: what was
-//! acknowledged stays, and once the last loss has ended the members go on in time.
+//! Random series of losses from seeds, with open admission. Acknowledged data must stay, and once
+//! the last loss has ended the cluster must recover in time.
 //!
-//! At most one disk is lost, or VM replaced, until its successor counts. All else may overlap: cuts of
-//! the leader or another, one way or both, losses of power of one or all, with torn writes, freezes, and
-//! newcomers. At the end all verdicts, reads among them, are those of one order in time.
+//! After a disk is lost or a VM replaced, no other disk is lost until the new member is a voter. All
+//! other faults may overlap: network cuts of the leader or another member in one or both directions,
+//! power loss of one or all with torn writes, freezes, and new VMs. At the end all verdicts,
+//! including reads, must be linearizable.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -20,7 +21,7 @@
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use sim::Sim;
-use sim::disk::Tail;
+use sim::disk::Unsynced;
 use sim::ms;
 use wigeonbarrow::control::consensus;
 use wigeonbarrow::control::replica::Replica;
@@ -32,20 +33,20 @@
 const CASES: u64 = 4_000;
 const THREADS: usize = 4;
 
-/// Six election timeouts of 0.8 s. Two are a whole election with its timer drawn longest, and
-/// votes may be split; a disk that was lost is admitted by the leader after that.
-const GO_ON: Duration = ms(4_800);
+/// Six election timeouts of 0.8 s. An election with the longest timer takes two of them, votes may
+/// be split, and a lost disk is readmitted by the leader only after that.
+const RECOVERY: Duration = ms(4_800);
 
-/// Three election timeouts of silence, after which a VM that never comes back is replaced.
-const REPLACED: Duration = ms(2_400);
+/// Three election timeouts of silence, after which a VM that never returns is replaced.
+const REPLACEMENT: Duration = ms(2_400);
 
-/// Longest that a slow sync takes, in milliseconds: over two election timeouts.
-const SLOWEST: u64 = 2_000;
+/// Upper bound of a slow sync in milliseconds: over two election timeouts.
+const MAX_SLOW_MS: u64 = 2_000;
 
-const TAILS: [Tail; 3] = [Tail::Lost, Tail::Torn, Tail::Kept];
+const TAILS: [Unsynced; 3] = [Unsynced::Lost, Unsynced::Torn, Unsynced::Kept];
 
-/// Most VMs, those that are gone among them.
-const MOST: usize = 8;
+/// Upper bound of VMs, including those that are gone.
+const MAX_VMS: usize = 8;
 
 const LIMIT: Duration = ms(60_000);
 
@@ -55,22 +56,22 @@
     CutOut,
     CutIn,
     Freeze,
-    Power(Tail),
-    AllPower(Tail),
+    Power(Unsynced),
+    AllPower(Unsynced),
     Disk,
     Newcomer,
     Replace,
-    /// The disk takes nothing.
+    /// The disk accepts no writes.
     Full,
     /// Each sync takes this much longer.
     Slow(Duration),
 }
 
-/// What a case draws.
+/// Kinds of losses in a case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mix {
     Losses,
-    /// Losses, and as often disks that are full or slow.
+    /// Losses and, with equal probability, full or slow disks.
     Disks,
 }
 
@@ -83,7 +84,7 @@
     keys: u64,
     /// The VM whose disk was lost last.
     empty: Option<usize>,
-    told: Vec<String>,
+    history: Vec<String>,
 }
 
 impl Case {
@@ -97,14 +98,17 @@
             version: 0,
             keys: 0,
             empty: None,
-            told: Vec::new(),
+            history: Vec::new(),
         };
         case.work();
-        assert!(case.sim.run_until(LIMIT, is_whole), "no first cluster");
+        assert!(
+            case.sim.run_until(LIMIT, is_fully_replicated),
+            "no first cluster"
+        );
         case
     }
 
-    /// More for the members to do, by two clients.
+    /// Adds commands by two clients.
     fn work(&mut self) {
         for _ in 0..2 {
             let mut commands = Vec::new();
@@ -144,10 +148,10 @@
         if self.rng.random_bool(0.4) {
             return Loss::Full;
         }
-        Loss::Slow(ms(self.rng.random_range(100..SLOWEST)))
+        Loss::Slow(ms(self.rng.random_range(100..MAX_SLOW_MS)))
     }
 
-    /// The leader, or as often as not any.
+    /// The leader or any VM, with equal probability.
     fn target(&mut self) -> usize {
         let any = self.rng.random_range(0..self.sim.vms.len());
         let leader = self
@@ -165,11 +169,11 @@
         let adds = matches!(loss, Loss::Newcomer | Loss::Replace);
         if self.sim.vms[at].gone
             || (takes_disk && !self.may_lose_disk())
-            || (adds && self.sim.vms.len() >= MOST)
+            || (adds && self.sim.vms.len() >= MAX_VMS)
         {
             return;
         }
-        self.told
+        self.history
             .push(format!("{loss:?} at {at}, back after {back:?}"));
         let others: Vec<usize> = (0..self.sim.vms.len()).filter(|one| *one != at).collect();
         match loss {
@@ -188,7 +192,7 @@
                 }
             }
             Loss::Disk => {
-                self.sim.kill(at, Tail::Lost);
+                self.sim.kill(at, Unsynced::Lost);
                 self.sim.lose_disk(at);
                 self.empty = Some(at);
                 self.sim.restart_after(at, ms(100));
@@ -209,12 +213,12 @@
         self.sim.start(self.sim.vms.len() - 1);
     }
 
-    fn power(&mut self, at: usize, tail: Tail, back: Duration) {
+    fn power(&mut self, at: usize, tail: Unsynced, back: Duration) {
         self.sim.kill(at, tail);
         self.sim.restart_after(at, back);
     }
 
-    /// Whether whoever lost its disk last counts again, and has its time to catch up.
+    /// Whether the member that lost its disk last is a voter again and has caught up.
     fn may_lose_disk(&self) -> bool {
         let Some(empty) = self.empty else {
             return true;
@@ -224,9 +228,9 @@
         };
         let last = self.sim.vms[leader].replica.as_ref().expect("it leads");
         let one = self.sim.vms[empty].replica.as_ref();
-        // Members in force that are not committed may be gone with their leader.
+        // An uncommitted membership may be lost together with its leader.
         let last = last.raft();
-        none_gone(&self.sim, last)
+        no_gone_voter(&self.sim, last)
             && last.commit() == last.log().tail().index
             && one.is_some_and(|one| {
                 last.membership().votes(&one.raft().me()) && one.raft().durable() == last.commit()
@@ -249,52 +253,56 @@
             }
         }
         self.heal();
-        self.go_on("after the last loss");
+        self.assert_recovered("after the last loss");
         self.work();
         self.wait(20, 600);
-        self.sim.run_until(self.bound(), is_whole);
+        self.sim
+            .run_until(self.recovery_limit(), is_fully_replicated);
         let left = (0..self.sim.vms.len()).filter(|at| !self.sim.vms[*at].gone);
         let left: Vec<usize> = left.collect();
         let wiped = left[self.rng.random_range(0..left.len())];
-        self.told.push(format!("disk {wiped} lost, power of all"));
-        (0..self.sim.vms.len()).for_each(|at| self.sim.kill(at, Tail::Lost));
+        self.history
+            .push(format!("disk {wiped} lost, power of all"));
+        (0..self.sim.vms.len()).for_each(|at| self.sim.kill(at, Unsynced::Lost));
         self.sim.lose_disk(wiped);
         (0..self.sim.vms.len()).for_each(|at| self.sim.start(at));
-        self.go_on("after the end");
+        self.assert_recovered("after the end");
         assert!(self.sim.run(LIMIT), "some commands are never decided");
         self.sim.check_end();
     }
 
-    fn bound(&self) -> Duration {
+    fn recovery_limit(&self) -> Duration {
         let is_replaced = self.sim.vms.iter().any(|vm| vm.gone);
-        GO_ON
+        RECOVERY
             + if is_replaced {
-                REPLACED
+                REPLACEMENT
             } else {
                 Duration::ZERO
             }
     }
 
     fn heal(&mut self) {
-        self.told.push("healed".to_owned());
+        self.history.push("healed".to_owned());
         let slowest = self.sim.vms.iter().map(|vm| vm.disk.slow).max();
         self.sim
             .vms
             .iter_mut()
             .for_each(|vm| vm.disk.slow = Duration::ZERO);
         self.sim.heal_after(Duration::ZERO);
-        // A slow sync that is under way still is.
+        // A slow sync that has already started still takes its time.
         self.sim
             .run_until(ms(2) + slowest.unwrap_or_default(), |_| false);
     }
 
-    /// A new entry is decided, all vote, and nothing that was acknowledged is missing.
-    fn go_on(&mut self, when: &str) {
+    /// Asserts that a new entry is committed, all members vote and no acknowledged data is lost.
+    fn assert_recovered(&mut self, when: &str) {
         let held = self.acknowledged();
         let version = self.newest();
         assert!(version.is_some(), "{when} nothing is decided");
         assert!(version >= held, "{when} {held:?} is gone: {version:?}");
-        let whole = self.sim.run_until(self.bound(), is_whole);
+        let whole = self
+            .sim
+            .run_until(self.recovery_limit(), is_fully_replicated);
         assert!(whole, "{when} not all vote and agree");
     }
 
@@ -307,11 +315,11 @@
         versions.max()
     }
 
-    /// The newest version, as an order in the log tells it.
+    /// The newest version, read through the log.
     fn newest(&mut self) -> Option<u64> {
         let client = self.sim.add_client(vec![Command::Newest]);
         let answered = |sim: &Sim| sim.done.iter().any(|one| one.client == client);
-        self.sim.run_until(self.bound(), answered);
+        self.sim.run_until(self.recovery_limit(), answered);
         let read = self.sim.done.iter().find(|one| one.client == client);
         match &read?.verdict {
             Verdict::Newest(document) => Some(document.as_ref().map_or(0, |one| one.version)),
@@ -320,21 +328,21 @@
     }
 }
 
-/// Whether none that never comes back votes. Until then it counts as the one that is lost.
-fn none_gone(sim: &Sim, last: &consensus::Raft) -> bool {
+/// Whether no VM that is gone is still a voter. Until then it is the one tolerated loss.
+fn no_gone_voter(sim: &Sim, last: &consensus::Raft) -> bool {
     let mut gone = sim.vms.iter().filter(|vm| vm.gone);
     gone.all(|vm| last.membership().voter_at(vm.addr).is_none())
 }
 
-/// Whether all vote, in the lives that they are in, and hold all that is committed.
-fn is_whole(sim: &Sim) -> bool {
+/// Whether all are voters in their current incarnation and hold all committed entries.
+fn is_fully_replicated(sim: &Sim) -> bool {
     let Some(leader) = sim.leader() else {
         return false;
     };
     let last = sim.vms[leader].replica.as_ref().expect("it leads").raft();
     let left = sim.vms.iter().filter(|vm| !vm.gone);
     let mut all = left.map(|vm| vm.replica.as_ref().map(Replica::raft));
-    none_gone(sim, last)
+    no_gone_voter(sim, last)
         && last.commit() == last.log().tail().index
         && all.all(|one| {
             one.is_some_and(|one| {
@@ -343,13 +351,13 @@
         })
 }
 
-/// What happened, if it failed.
+/// Runs a case. Returns its failure and the events before it.
 fn play(seed: u64, mix: Mix) -> Result<(), String> {
-    let mut told = Vec::new();
+    let mut history = Vec::new();
     let ended = panic::catch_unwind(panic::AssertUnwindSafe(|| {
         let mut case = Case::new(seed, mix);
         let ended = panic::catch_unwind(panic::AssertUnwindSafe(|| case.run()));
-        told.append(&mut case.told);
+        history.append(&mut case.history);
         if let Err(why) = ended {
             panic::resume_unwind(why);
         }
@@ -357,11 +365,11 @@
     ended.map_err(|why| {
         let text = why.downcast_ref::<String>().cloned();
         let text = text.or_else(|| why.downcast_ref::<&str>().map(ToString::to_string));
-        format!("{}; {}", text.unwrap_or_default(), told.join("; "))
+        format!("{}; {}", text.unwrap_or_default(), history.join("; "))
     })
 }
 
-/// Plays `seeds`: those that failed, and why.
+/// Runs the cases of `seeds`. Returns the seeds that failed, and why.
 fn play_all(seeds: std::ops::Range<u64>, mix: Mix) -> Vec<(u64, String)> {
     let next = AtomicU64::new(seeds.start);
     let work = || {
@@ -378,7 +386,9 @@
     };
     thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
-        let failed = threads.into_iter().map(|one| one.join().expect("a thread"));
+        let failed = threads
+            .into_iter()
+            .map(|thread| thread.join().expect("a thread"));
         failed.flatten().collect()
     })
 }
@@ -406,11 +416,11 @@
 }
 
 #[test]
-fn drawn_losses() {
+fn random_losses() {
     check(Mix::Losses, CASES);
 }
 
 #[test]
-fn drawn_disks() {
+fn random_losses_and_disk_faults() {
     check(Mix::Disks, CASES / 2);
 }
--- a/tests/slow_votes.rs
+++ b/tests/slow_votes.rs
@@ -1,7 +1,6 @@
-//! A voter whose disk takes longer for a sync than an election lasts: its vote still counts.
-//!
-//! What operators saw: with one of three control processes gone and the disk of another slow, no
-//! change was acknowledged as long as the disk was slow.
+//! A voter whose disk takes longer to sync than an election timeout must still be able to vote.
+//! Otherwise, with one of three control processes lost and the disk of another slow, nobody is
+//! elected and no change is acknowledged as long as the disk stays slow.
 
 #[path = "common/sim.rs"]
 mod sim;
@@ -15,10 +14,10 @@
 
 const LIMIT: Duration = ms(60_000);
 
-/// Time for an election that takes several syncs: that after which all is to be served again.
+/// Time limit of an election that takes several syncs: when all requests must be served again.
 const RECOVERED: Duration = ms(12_000);
 
-/// A sync lasts this long, in milliseconds: below an election timeout, about one, and over two.
+/// Sync times in milliseconds: below one election timeout, about one, and over two.
 const SYNCS: [u64; 4] = [500, 1_000, 1_500, 2_500];
 
 fn cluster(seed: u64) -> Sim {
@@ -32,9 +31,9 @@
     sim.leader().is_some_and(|at| sim.has_lease(at))
 }
 
-/// A candidate that began the next term before the slow vote came was never elected.
+/// A candidate that starts the next term before a slow vote arrives is never elected.
 #[test]
-fn late_vote_elects() {
+fn slow_vote_counts() {
     let mut failed = Vec::new();
     for seed in 0..20 {
         for sync in SYNCS {
--- a/tests/suspect_news.rs
+++ b/tests/suspect_news.rs
@@ -28,7 +28,7 @@
         };
         sim.add_client(vec![crash, Command::Clear(print)]);
         assert!(sim.run(LIMIT), "seed {seed}: the members agree");
-        let told = |sim: &Sim| sim.vms.iter().all(|vm| vm.news >= 2);
+        let told = |sim: &Sim| sim.vms.iter().all(|vm| vm.suspect_changes >= 2);
         assert!(sim.run_until(SOON, told), "seed {seed}");
     }
 }
