--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Status {
     /// Its role in the consensus.
-    pub standing: consensus::Standing,
+    pub standing: consensus::Role,
     /// Incarnation of its data folder.
     pub life: u64,
     /// Current term.
@@ -202,13 +202,13 @@
     }
 
     /// Starts a membership change ordered by an operator.
-    pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Ordered {
+    pub fn order(&mut self, now: Duration, order: &member::Order) -> member::Outcome {
         self.raft.order(now, order)
     }
 
     /// Sets the addresses of possible members and, at the first start, of the cluster's founders.
     pub fn set_peers(&mut self, addrs: Vec<SocketAddr>, founders: Option<Vec<SocketAddr>>) {
-        self.raft.know(addrs, founders);
+        self.raft.learn_peers(addrs, founders);
     }
 
     /// Starts a transfer of leadership to another voter, if one is eligible.
@@ -318,7 +318,7 @@
         while self.applied < self.raft.commit() {
             self.apply_next();
         }
-        if self.raft.standing() != consensus::Standing::Leader && !self.waiting.is_empty() {
+        if self.raft.role() != consensus::Role::Leader && !self.waiting.is_empty() {
             for proposal in std::mem::take(&mut self.waiting).into_values() {
                 self.reject(proposal.token);
             }
@@ -354,7 +354,7 @@
         let entry = self.raft.log().get(index);
         let entry = entry.expect("a committed entry is kept until it is applied");
         let term = entry.term;
-        self.uncompacted_bytes += entry.weight();
+        self.uncompacted_bytes += entry.approx_bytes();
         let mut verdict = agree::Verdict::Unavailable;
         if let log::Payload::Command {
             wall_ms,
@@ -412,7 +412,7 @@
             matched: raft.matched(member),
         });
         Status {
-            standing: raft.standing(),
+            standing: raft.role(),
             life: raft.me().life.0,
             term: raft.term(),
             leader: raft.leader().map(|member| member.addr),
@@ -431,7 +431,7 @@
                 .iter()
                 .map(|member| member.addr)
                 .collect(),
-            waits_ms: raft.waits(now).as_millis() as u64,
+            waits_ms: raft.commit_delay(now).as_millis() as u64,
             followers: raft.followers(now),
             callers: raft.callers(now),
         }
--- a/src/edge/control/core.rs
+++ b/src/edge/control/core.rs
@@ -53,7 +53,7 @@
     /// A command to propose.
     Propose(agree::Command, oneshot::Sender<agree::Verdict>),
     /// An operator's membership change.
-    Order(member::Order, oneshot::Sender<member::Ordered>),
+    Order(member::Order, oneshot::Sender<member::Outcome>),
     /// A read of the replica.
     Read(Read),
     /// Possible members, and the founders of the cluster.
@@ -95,7 +95,7 @@
     failed: bool,
     next_token: replica::Token,
     replies: HashMap<replica::Token, oneshot::Sender<agree::Verdict>>,
-    logged_standing: Option<consensus::Standing>,
+    logged_standing: Option<consensus::Role>,
     /// Membership logged last: its index, and whether it was committed.
     logged_members: (u64, bool),
     ticked_at: Duration,
@@ -341,7 +341,7 @@
         if **self.shared.leader.load() != leader {
             self.shared.leader.store(Arc::new(leader));
         }
-        let standing = raft.standing();
+        let standing = raft.role();
         if self.logged_standing != Some(standing) {
             self.logged_standing = Some(standing);
             let term = raft.term();
--- a/tests/suspect_news.rs
+++ b/tests/suspect_news.rs
@@ -29,7 +29,7 @@
         };
         sim.add_client(vec![crash, Command::Clear(fingerprint)]);
         assert!(sim.run(LIMIT), "seed {seed}: the members agree");
-        let reported = |sim: &Sim| sim.vms.iter().all(|vm| vm.news >= 2);
+        let reported = |sim: &Sim| sim.vms.iter().all(|vm| vm.suspect_changes >= 2);
         assert!(sim.run_until(REPORT_WITHIN, reported), "seed {seed}");
     }
 }
