--- a/src/control/state/claim.rs
+++ b/src/control/state/claim.rs
@@ -16,7 +16,7 @@
 /// How long a freed claim still rejects late duplicates of its own request, in milliseconds.
 const FREED_TTL_MS: u64 = 60_000;
 
-/// Bounds the time that one command spends on expired claims.
+/// Most expired claims that one command removes, so that none takes long.
 const MAX_EXPIRED_PER_COMMAND: usize = 256;
 
 /// Half a BLAKE3 hash of (workspace, key), so that the size of a claim does not depend on its key.
--- a/src/edge/control/disk.rs
+++ b/src/edge/control/disk.rs
@@ -52,7 +52,7 @@
 /// Why a write failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing was written, and the write may be retried.
+    /// The write did not take effect and may be retried.
     Retry(io::Error),
     /// The contents of the disk are unknown. No further write is allowed.
     Final(io::Error),
