--- a/src/edge/entry.rs
+++ b/src/edge/entry.rs
@@ -1,4 +1,4 @@
-//! The entry role: drives requests over links by the decisions of [`crate::entry`].
+//! The entry role: sends requests over links as the state machines of [`crate::entry`] decide.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -17,66 +17,65 @@
 use crate::wire::rpc;
 use crate::wire::run;
 
-mod alarm;
 mod core;
 mod count;
 mod drive;
 mod hello;
 mod stream;
+mod suspect;
 
-/// Parts of an answer that wait for a slow caller.
-const PARTS: usize = 64;
+/// Parts of a response that are queued for a slow caller.
+const MAX_QUEUED_PARTS: usize = 64;
 
-/// Most requests in progress at one entry.
+/// Maximum number of requests in progress at one entry.
 pub const MAX_IN_PROGRESS: usize = 20_000;
 
-/// When a caller should come back to an entry that was busy or draining, in milliseconds.
+/// Delay before a caller should retry after a busy or draining entry, in milliseconds.
 pub const BUSY_RETRY_MS: u64 = 1_000;
 
-/// A checked request of a caller.
+/// A validated request of a caller.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Its id.
     pub request: id::Request,
     /// Name of the caller's workspace.
     pub workspace: String,
     /// Name of the service.
     pub service: String,
-    /// Time from now until it must have its final answer.
+    /// Time from now until the final response is due.
     pub limit: Duration,
-    /// Whether a second run does no harm.
+    /// Whether the request is idempotent.
     pub repeatable: bool,
     /// The caller's idempotency key.
     pub key: Option<String>,
     /// The prompt's text, or the call's body.
     pub body: Bytes,
-    /// What to run. `prompt_tokens` is the entry's to set.
+    /// What to run. The entry sets `prompt_tokens`.
     pub work: run::Work,
 }
 
-/// Part of an answer, in order. The last is `Done` or `Failed`; a channel that closes without
-/// either is an internal fault.
+/// Part of a response, in order. The last part is `Done` or `Failed`; a channel that closes
+/// without either is an internal error.
 #[derive(Clone, Debug)]
 pub enum Part {
-    /// Status and headers of a plain service's answer.
+    /// Status and headers of a plain service's response.
     Head {
         /// HTTP status.
         status: u16,
-        /// Headers to pass on, names in lower case.
+        /// Headers to forward, names in lower case.
         headers: Vec<(String, String)>,
     },
     /// Texts of tokens.
     Tokens(Vec<String>),
-    /// Bytes of a plain service's answer.
+    /// Bytes of a plain service's response body.
     Bytes(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     Done {
         /// Why it ended.
         end: run::End,
-        /// What it cost.
+        /// Tokens used.
         usage: run::Usage,
     },
-    /// The answer is not whole.
+    /// The response is incomplete or missing.
     Failed(outcome::Failure),
 }
 
@@ -89,7 +88,7 @@
     count: Arc<count::Count>,
 }
 
-/// Counts a request in progress for as long as it lives.
+/// Counts one request in progress until it is dropped.
 struct Running(Arc<AtomicUsize>);
 
 impl Drop for Running {
@@ -103,7 +102,7 @@
     ///
     /// # Panics
     ///
-    /// Outside a tokio runtime: requests run on the one it is called in.
+    /// If called outside a tokio runtime. Requests run on the runtime of the caller.
     pub fn start(node: &Arc<node::Node>) -> Arc<Self> {
         let runtime = runtime::Handle::current();
         runtime.spawn(hello::run(Arc::clone(node)));
@@ -117,27 +116,28 @@
         })
     }
 
-    /// Takes a backend server's presence.
+    /// Passes a backend server's announcement to the router. The answer is the current view, or
+    /// `Unavailable` if the core thread is busy.
     pub async fn announce(&self, announce: member::Announce) -> rpc::Answer {
         let event = router::Event::Announce(Box::new(announce));
-        if !self.core.try_tell(event) {
+        if !self.core.try_send(event) {
             return rpc::Answer::Unavailable;
         }
         rpc::Answer::View(self.node.view().as_ref().clone())
     }
 
-    /// The backend servers that are present. `None`: the core thread is busy.
+    /// The live backend servers, or `None` if the core thread is busy.
     pub async fn servers(&self) -> Option<Vec<member::Announce>> {
         self.core.list().await
     }
 
     /// Runs a request. Dropping the receiver cancels it.
     pub fn submit(&self, submission: Submission) -> mpsc::Receiver<Part> {
-        let (tx, rx) = mpsc::channel(PARTS);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_PARTS);
         let accepted = self.node.now();
         let running = Running(Arc::clone(&self.running));
-        let before = self.running.fetch_add(1, Ordering::AcqRel);
-        if let Some(failure) = self.refusal(before) {
+        let in_progress = self.running.fetch_add(1, Ordering::AcqRel);
+        if let Some(failure) = self.rejection(in_progress) {
             self.count.failed(&failure);
             let _ = tx.try_send(Part::Failed(failure));
             return rx;
@@ -153,7 +153,7 @@
         rx
     }
 
-    fn refusal(&self, in_progress: usize) -> Option<outcome::Failure> {
+    fn rejection(&self, in_progress: usize) -> Option<outcome::Failure> {
         let (cause, message) = if self.node.draining() {
             (outcome::Cause::Draining, "this entry is draining")
         } else if in_progress >= MAX_IN_PROGRESS {
@@ -168,7 +168,7 @@
         ))
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.running.load(Ordering::Acquire)
     }
--- a/src/edge/entry/core.rs
+++ b/src/edge/entry/core.rs
@@ -1,4 +1,4 @@
-//! The core thread: owns the router; others reach it over two bounded rings.
+//! The core thread, which owns the router. Tasks reach it over bounded queues.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,103 +18,111 @@
 use crate::wire::outcome;
 use crate::wire::rpc;
 
-/// Requests for a place that wait for the core thread. A full ring is answered `Busy`.
-const PLACE_RING: usize = 4_096;
+/// Placement requests queued for the core thread. When the queue is full, the request fails as
+/// `Busy`.
+const PLACEMENT_QUEUE: usize = 4_096;
 
-/// Announcements and notes that wait for the core thread.
-const NEWS_RING: usize = 16_384;
+/// Announcements and feedback queued for the core thread.
+const EVENT_QUEUE: usize = 16_384;
 
-/// Questions for the list of backend servers that wait for the core thread.
-const LIST_RING: usize = 16;
+/// Queries for the list of backend servers queued for the core thread.
+const LIST_QUEUE: usize = 16;
 
-/// News taken before a request for a place gets its turn.
-const NEWS_BATCH: usize = 256;
+/// Maximum number of queued events handled before the next placement request.
+const EVENT_BATCH: usize = 256;
 
-/// Longest sleep of the core thread: how fast a new configuration or view is seen.
+/// Longest sleep of the core thread, and so the longest delay before it sees a new configuration or
+/// view.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 
 /// Time between two updates of the router's metrics.
-const COUNT_PERIOD: Duration = Duration::from_millis(250);
+const METRICS_PERIOD: Duration = Duration::from_millis(250);
 
-/// Pause of a task whose note found the ring full.
-const NOTE_PAUSE: Duration = Duration::from_millis(1);
+/// Pause before a task retries sending to a full queue.
+const SEND_RETRY_PAUSE: Duration = Duration::from_millis(1);
 
-/// The router's answer to a request for a place.
-pub type Choice = Result<job::Placement, outcome::Failure>;
+/// The router's answer to a placement request.
+pub type Decision = Result<job::Placement, outcome::Failure>;
 
-type Listed = oneshot::Sender<Vec<member::Announce>>;
+type ListQuery = oneshot::Sender<Vec<member::Announce>>;
 
-type Asked = (Box<job::Job>, oneshot::Sender<Choice>);
+type Request = (Box<job::Job>, oneshot::Sender<Decision>);
 
-/// The ways to the core thread.
+/// Sends to the core thread.
 #[derive(Clone)]
 pub struct Handle {
-    news: ring::Sender<router::Event>,
-    place: ring::Sender<Asked>,
-    list: ring::Sender<Listed>,
+    events: ring::Sender<router::Event>,
+    placements: ring::Sender<Request>,
+    lists: ring::Sender<ListQuery>,
 }
 
 impl Handle {
     /// Starts the thread.
     pub fn start(node: &Arc<node::Node>, count: &Arc<count::Count>) -> Self {
-        let (news_tx, news) = ring::bounded(NEWS_RING);
-        let (place_tx, place) = ring::bounded(PLACE_RING);
-        let (list_tx, list) = ring::bounded(LIST_RING);
-        let core = Core::new(Arc::clone(node), Arc::clone(count), news, place, list);
+        let (events_tx, events) = ring::bounded(EVENT_QUEUE);
+        let (placements_tx, placements) = ring::bounded(PLACEMENT_QUEUE);
+        let (lists_tx, lists) = ring::bounded(LIST_QUEUE);
+        let core = Core::new(
+            Arc::clone(node),
+            Arc::clone(count),
+            events,
+            placements,
+            lists,
+        );
         thread::Builder::new()
             .name("entry-core".to_owned())
             .spawn(move || core.run())
             .expect("a thread can be started");
         Self {
-            news: news_tx,
-            place: place_tx,
-            list: list_tx,
+            events: events_tx,
+            placements: placements_tx,
+            lists: lists_tx,
         }
     }
 
-    /// Asks for a place. `None`: the ring is full.
-    pub fn place(&self, job: job::Job) -> Option<oneshot::Receiver<Choice>> {
+    /// Requests a placement. `None` if the queue is full.
+    pub fn place(&self, job: job::Job) -> Option<oneshot::Receiver<Decision>> {
         let (tx, rx) = oneshot::channel();
-        self.place.try_send((Box::new(job), tx)).ok()?;
+        self.placements.try_send((Box::new(job), tx)).ok()?;
         Some(rx)
     }
 
-    /// The backend servers that are present, by their last announcements. `None`: the core
-    /// thread is busy.
+    /// The live backend servers, by their last announcements. `None` if the core thread is busy.
     pub async fn list(&self) -> Option<Vec<member::Announce>> {
         let (tx, rx) = oneshot::channel();
-        self.list.try_send(tx).ok()?;
+        self.lists.try_send(tx).ok()?;
         rx.await.ok()
     }
 
-    /// Tells news without waiting. `false`: the ring is full and the news is dropped.
-    pub fn try_tell(&self, event: router::Event) -> bool {
-        self.news.try_send(event).is_ok()
+    /// Sends an event without waiting. `false` if the queue is full and the event was dropped.
+    pub fn try_send(&self, event: router::Event) -> bool {
+        self.events.try_send(event).is_ok()
     }
 
-    /// Tells news that must not be lost: waits, on the task alone, while the ring is full.
-    pub async fn tell(&self, event: router::Event) {
+    /// Sends an event that must not be lost. Waits, without blocking the thread, while the queue is
+    /// full.
+    pub async fn send(&self, event: router::Event) {
         let mut event = event;
-        while let Err(ring::TrySendError::Full(back)) = self.news.try_send(event) {
-            event = back;
-            tokio::time::sleep(NOTE_PAUSE).await;
+        while let Err(ring::TrySendError::Full(returned)) = self.events.try_send(event) {
+            event = returned;
+            tokio::time::sleep(SEND_RETRY_PAUSE).await;
         }
     }
 }
 
 struct Core {
     node: Arc<node::Node>,
-    /// The configuration that the router has.
+    /// The configuration last given to the router.
     conf: Arc<config::Set>,
-    /// The view that the router has.
+    /// The view last given to the router.
     view: Arc<rpc::View>,
     count: Arc<count::Count>,
-    news: ring::Receiver<router::Event>,
-    place: ring::Receiver<Asked>,
-    list: ring::Receiver<Listed>,
+    events: ring::Receiver<router::Event>,
+    placements: ring::Receiver<Request>,
+    lists: ring::Receiver<ListQuery>,
     router: router::Router,
-    /// Who waits for a choice. Invariant: a request waits once.
-    waiting: HashMap<id::Request, oneshot::Sender<Choice>>,
+    /// Senders for requests that wait for a decision. Invariant: a request waits at most once.
+    waiting: HashMap<id::Request, oneshot::Sender<Decision>>,
     actions: Vec<router::Action>,
 }
 
@@ -122,9 +130,9 @@
     fn new(
         node: Arc<node::Node>,
         count: Arc<count::Count>,
-        news: ring::Receiver<router::Event>,
-        place: ring::Receiver<Asked>,
-        list: ring::Receiver<Listed>,
+        events: ring::Receiver<router::Event>,
+        placements: ring::Receiver<Request>,
+        lists: ring::Receiver<ListQuery>,
     ) -> Self {
         let seed = node.incarnation().0;
         let router = router::Router::new(seed, &node.settings().zone, node.conf());
@@ -133,32 +141,32 @@
             view: Arc::default(),
             node,
             count,
-            news,
-            place,
-            list,
+            events,
+            placements,
+            lists,
             router,
             waiting: HashMap::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Runs until all handles are gone.
+    /// Runs until all handles are dropped.
     fn run(mut self) {
         let mut counts = self.router.counts();
-        let mut counted = Duration::ZERO;
+        let mut counted_at = Duration::ZERO;
         loop {
             let now = self.node.now();
             let sleep = self.router.wake().saturating_sub(now).min(MAX_SLEEP);
             ring::select! {
-                recv(self.news) -> event => match event {
+                recv(self.events) -> event => match event {
                     Ok(event) => self.step(event),
                     Err(_) => return,
                 },
-                recv(self.place) -> asked => match asked {
-                    Ok(asked) => self.ask(asked),
+                recv(self.placements) -> request => match request {
+                    Ok(request) => self.place(request),
                     Err(_) => return,
                 },
-                recv(self.list) -> tx => match tx {
+                recv(self.lists) -> tx => match tx {
                     Ok(tx) => {
                         let _ = tx.send(self.router.fleet().present(self.node.now()));
                     }
@@ -166,19 +174,19 @@
                 },
                 default(sleep) => self.step(router::Event::Tick),
             }
-            for event in self.news.clone().try_iter().take(NEWS_BATCH) {
+            for event in self.events.clone().try_iter().take(EVENT_BATCH) {
                 self.step(event);
             }
-            if now >= counted + COUNT_PERIOD {
-                counted = now;
-                self.count.router(&counts, &self.router);
+            if now >= counted_at + METRICS_PERIOD {
+                counted_at = now;
+                self.count.record_router(&counts, &self.router);
                 counts = self.router.counts();
             }
             self.refresh();
         }
     }
 
-    /// Takes a newer configuration and view.
+    /// Gives the router a newer configuration and view, if there are any.
     fn refresh(&mut self) {
         let conf = self.node.conf();
         if !Arc::ptr_eq(&self.conf, &conf) {
@@ -192,8 +200,8 @@
         }
     }
 
-    fn ask(&mut self, (job, tx): Asked) {
-        // A request that comes after news of suspects is judged by that news.
+    fn place(&mut self, (job, tx): Request) {
+        // A placement must respect all suspects reported before its request.
         self.refresh();
         self.waiting.insert(job.request, tx);
         self.step(router::Event::Place(job));
@@ -206,13 +214,13 @@
         let now = self.node.now();
         self.router.step(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            let (request, choice) = match action {
-                router::Action::Placed(request, place) => (request, Ok(place)),
+            let (request, decision) = match action {
+                router::Action::Placed(request, placement) => (request, Ok(placement)),
                 router::Action::Unplaced(request, failure) => (request, Err(failure)),
             };
             if let Some(tx) = self.waiting.remove(&request) {
-                // A request that has gone closes its attempt itself.
-                let _ = tx.send(choice);
+                // Fails if the request has ended. It closes its attempt itself.
+                let _ = tx.send(decision);
             }
         }
     }
--- a/src/edge/entry/count.rs
+++ b/src/edge/entry/count.rs
@@ -17,13 +17,13 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// Most workspaces with a histogram of their own; the others share that of [`OTHER`].
+/// Maximum number of workspaces with their own histogram. The rest share [`OTHER_WORKSPACES`].
 const MAX_WORKSPACES: usize = 256;
 
-/// Label of workspaces without a histogram of their own.
-const OTHER: &str = "other";
+/// Label of workspaces without their own histogram.
+const OTHER_WORKSPACES: &str = "other";
 
-/// Bounds of time histograms, in seconds.
+/// Bucket bounds of the time histograms, in seconds.
 const BOUNDS: [f64; 14] = [
     0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0, 60.0, 120.0,
 ];
@@ -56,37 +56,37 @@
     first_by_workspace: Times<ByWorkspace>,
     total_by_class: Times<ByClass>,
     requests: family::Family<ByOutcome, counter::Counter>,
-    places: counter::Counter,
+    placements: counter::Counter,
     retries: counter::Counter,
-    refusals: counter::Counter,
+    rejections: counter::Counter,
     waited: counter::Counter,
     shed: counter::Counter,
     prompt_tokens: counter::Counter,
     cached_tokens: counter::Counter,
     waiting: gauge::Gauge,
     in_progress: gauge::Gauge,
-    /// Workspaces with a histogram of their own; at most [`MAX_WORKSPACES`].
-    named: Mutex<HashSet<String>>,
+    /// Workspaces with their own histogram. Invariant: at most [`MAX_WORKSPACES`].
+    labels: Mutex<HashSet<String>>,
 }
 
 impl Count {
-    /// Registers them.
+    /// Creates and registers the metrics.
     pub fn new(metrics: &metric::Registry) -> Self {
         let count = Self {
             first_by_class: Times::new_with_constructor(times),
             first_by_workspace: Times::new_with_constructor(times),
             total_by_class: Times::new_with_constructor(times),
             requests: family::Family::default(),
-            places: counter::Counter::default(),
+            placements: counter::Counter::default(),
             retries: counter::Counter::default(),
-            refusals: counter::Counter::default(),
+            rejections: counter::Counter::default(),
             waited: counter::Counter::default(),
             shed: counter::Counter::default(),
             prompt_tokens: counter::Counter::default(),
             cached_tokens: counter::Counter::default(),
             waiting: gauge::Gauge::default(),
             in_progress: gauge::Gauge::default(),
-            named: Mutex::default(),
+            labels: Mutex::default(),
         };
         metrics.with(|registry| count.register(registry.sub_registry_with_prefix("entry")));
         count
@@ -113,7 +113,7 @@
             "Requests with a final answer",
             self.requests.clone(),
         );
-        sub.register("places", "Attempts placed", self.places.clone());
+        sub.register("places", "Attempts placed", self.placements.clone());
         sub.register(
             "retries",
             "Attempts placed after one that was lost or failed",
@@ -122,7 +122,7 @@
         sub.register(
             "refused_places",
             "Attempts placed after one that a sidecar refused",
-            self.refusals.clone(),
+            self.rejections.clone(),
         );
         sub.register(
             "waited",
@@ -148,8 +148,14 @@
         );
     }
 
-    /// The first token or byte of a request came.
-    pub fn first(&self, conf: &config::Set, workspace: &str, class: run::Class, time: Duration) {
+    /// Records the time to the first token or byte of a response.
+    pub fn first_output(
+        &self,
+        conf: &config::Set,
+        workspace: &str,
+        class: run::Class,
+        time: Duration,
+    ) {
         let label = ByClass {
             class: class_label(class),
         };
@@ -162,7 +168,7 @@
         by_workspace.observe(seconds);
     }
 
-    /// A request has its whole answer.
+    /// Records a complete response.
     pub fn done(&self, class: run::Class, time: Duration) {
         let label = ByClass {
             class: class_label(class),
@@ -172,7 +178,7 @@
         self.outcome("done", outcome::Ran::Ran);
     }
 
-    /// A request failed or was refused.
+    /// Records a request that failed or was rejected.
     pub fn failed(&self, failure: &outcome::Failure) {
         self.outcome(failure.cause.code(), failure.ran);
     }
@@ -188,12 +194,12 @@
             .inc();
     }
 
-    /// Takes the router's counts, of which `old` were taken before.
-    pub fn router(&self, old: &router::Counts, router: &router::Router) {
+    /// Adds what the router counted since `old`, and updates the gauges.
+    pub fn record_router(&self, old: &router::Counts, router: &router::Router) {
         let new = router.counts();
-        self.places.inc_by(new.placed - old.placed);
+        self.placements.inc_by(new.placed - old.placed);
         self.retries.inc_by(new.retries - old.retries);
-        self.refusals.inc_by(new.refusals - old.refusals);
+        self.rejections.inc_by(new.refusals - old.refusals);
         self.waited.inc_by(new.waited - old.waited);
         self.shed.inc_by(new.shed - old.shed);
         let prompt = new.prompt_tokens - old.prompt_tokens;
@@ -205,17 +211,17 @@
         self.in_progress.set(gauge(router.in_progress()));
     }
 
-    /// Only workspaces of the configuration get a label of their own, and not more than
-    /// [`MAX_WORKSPACES`] in the life of the process.
+    /// The label of a workspace. Only configured workspaces get their own, and at most
+    /// [`MAX_WORKSPACES`] until the process ends, which bounds the number of metrics.
     fn workspace_label(&self, conf: &config::Set, workspace: &str) -> String {
-        let mut named = self.named.lock().expect("names lock");
-        if named.contains(workspace) {
+        let mut labels = self.labels.lock().expect("names lock");
+        if labels.contains(workspace) {
             return workspace.to_owned();
         }
-        if named.len() >= MAX_WORKSPACES || !conf.workspace.contains_key(workspace) {
-            return OTHER.to_owned();
+        if labels.len() >= MAX_WORKSPACES || !conf.workspace.contains_key(workspace) {
+            return OTHER_WORKSPACES.to_owned();
         }
-        named.insert(workspace.to_owned());
+        labels.insert(workspace.to_owned());
         workspace.to_owned()
     }
 }
--- a/src/edge/entry/drive.rs
+++ b/src/edge/entry/drive.rs
@@ -17,11 +17,11 @@
 use super::super::node;
 use super::Part;
 use super::Submission;
-use super::alarm;
 use super::core;
 use super::count;
 use super::stream;
-use crate::entry::gang as members;
+use super::suspect;
+use crate::entry::gang as entry_gang;
 use crate::entry::job;
 use crate::entry::prefix;
 use crate::entry::request;
@@ -31,26 +31,26 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-mod ask;
+mod calls;
 mod gang;
 
-/// How long after the time limit the driver answers itself if the state machine did not.
-const BACKSTOP: Duration = Duration::from_millis(250);
+/// Time after the deadline at which the driver ends the request if the state machine did not.
+const DEADLINE_GRACE: Duration = Duration::from_millis(250);
 
-/// How long a caller that does not read may keep the end of its answer waiting.
-const SLOW_CALLER: Duration = Duration::from_secs(30);
+/// How long after the deadline the end of a response may wait for a caller that does not read.
+const SLOW_CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bodies from this size on are hashed on a thread of their own.
-const LARGE_BODY: usize = 64 << 10;
+/// Bodies of at least this size are hashed on a blocking thread.
+const LARGE_BODY_BYTES: usize = 64 << 10;
 
-type Verdict = Pin<Box<dyn Future<Output = agree::Verdict> + Send>>;
+type Proposal = Pin<Box<dyn Future<Output = agree::Verdict> + Send>>;
 
-/// One request on its way.
+/// A request in progress.
 pub struct Drive {
     node: Arc<node::Node>,
     core: core::Handle,
     count: Arc<count::Count>,
-    /// When it was received.
+    /// When the request was received.
     accepted: Duration,
     submission: Submission,
     fingerprint: id::Fingerprint,
@@ -60,31 +60,31 @@
     actions: VecDeque<request::Action>,
     parts: VecDeque<Part>,
     streams: Vec<stream::Stream>,
-    choice: Option<oneshot::Receiver<core::Choice>>,
-    verdict: Option<Verdict>,
-    place: Option<job::Placement>,
-    /// The attempt whose first token is awaited or came, and whether it came.
+    decision: Option<oneshot::Receiver<core::Decision>>,
+    claim_result: Option<Proposal>,
+    placement: Option<job::Placement>,
+    /// The current attempt, and whether its first output has arrived.
     current: Option<(id::Attempt, bool)>,
     usage: Option<run::Usage>,
-    /// If its prompt is larger than one engine.
-    gang: Option<gang::Driven>,
-    /// Whether the first part of the answer was passed on.
-    begun: bool,
+    /// Set while the prompt is served by several engines.
+    gang: Option<gang::State>,
+    /// Whether the first part of the response was queued for the caller.
+    response_started: bool,
     ended: bool,
 }
 
 enum Input {
     Wake,
-    Gone,
-    Ending,
-    Sent,
+    Disconnected,
+    ShuttingDown,
+    PartSent,
     Reply(usize, Option<run::Reply>),
-    Choice(core::Choice),
-    Verdict(agree::Verdict),
+    Decision(core::Decision),
+    ClaimResult(agree::Verdict),
 }
 
 impl Drive {
-    /// Prepares a request; its time limit counts from `accepted`.
+    /// Prepares a request. Its time limit counts from `accepted`.
     pub async fn new(
         node: Arc<node::Node>,
         core: core::Handle,
@@ -120,26 +120,26 @@
             actions: actions.into(),
             parts: VecDeque::new(),
             streams: Vec::new(),
-            choice: None,
-            verdict: None,
-            place: None,
+            decision: None,
+            claim_result: None,
+            placement: None,
             current: None,
             usage: None,
             gang: None,
-            begun: false,
+            response_started: false,
             ended: false,
         }
     }
 
-    /// Runs it to its final answer.
+    /// Runs the request to its final response.
     pub async fn run(mut self, tx: mpsc::Sender<Part>) {
-        let mut gone = false;
+        let mut disconnected = false;
         let mut timer = pin!(time::sleep(Duration::ZERO));
         let lifetime = self.node.lifetime().clone();
-        let mut over = pin!(lifetime.expired());
+        let mut expiry = pin!(lifetime.expired());
         loop {
             while let Some(action) = self.actions.pop_front() {
-                self.act(action).await;
+                self.perform(action).await;
             }
             while let Some(part) = self.parts.pop_front() {
                 match tx.try_send(part) {
@@ -155,59 +155,64 @@
                 break;
             }
             let wake = self.wake();
-            let left = wake.saturating_sub(self.node.now());
-            let at = time::Instant::now() + left.max(Duration::from_millis(1));
+            let time_left = wake.saturating_sub(self.node.now());
+            let at = time::Instant::now() + time_left.max(Duration::from_millis(1));
             if timer.deadline().max(at) - timer.deadline().min(at) > Duration::from_millis(1) {
                 timer.as_mut().reset(at);
             }
-            let input = self.input(timer.as_mut(), over.as_mut(), &tx, gone).await;
+            let input = self
+                .input(timer.as_mut(), expiry.as_mut(), &tx, disconnected)
+                .await;
             if matches!(input, Input::Wake) && self.ended {
                 break;
             }
-            gone |= matches!(input, Input::Gone);
-            self.take(input).await;
+            disconnected |= matches!(input, Input::Disconnected);
+            self.handle(input).await;
         }
         self.close().await;
     }
 
     fn wake(&self) -> Duration {
         if self.ended {
-            return self.deadline + SLOW_CALLER;
+            return self.deadline + SLOW_CALLER_TIMEOUT;
         }
-        let wake = self.request.wake().min(self.deadline + BACKSTOP);
+        let wake = self.request.wake().min(self.deadline + DEADLINE_GRACE);
         self.gang_wake().map_or(wake, |gang| wake.min(gang))
     }
 
     async fn input(
         &mut self,
         timer: Pin<&mut time::Sleep>,
-        over: Pin<&mut impl Future<Output = ()>>,
+        expiry: Pin<&mut impl Future<Output = ()>>,
         tx: &mpsc::Sender<Part>,
-        gone: bool,
+        disconnected: bool,
     ) -> Input {
         let blocked = !self.parts.is_empty();
         let reading = !blocked && !self.ended;
         tokio::select! {
             biased;
             () = timer => Input::Wake,
-            () = tx.closed(), if !gone => Input::Gone,
-            () = over, if !self.ended => Input::Ending,
+            () = tx.closed(), if !disconnected => Input::Disconnected,
+            () = expiry, if !self.ended => Input::ShuttingDown,
             permit = tx.reserve(), if blocked => {
                 if let (Ok(permit), Some(part)) = (permit, self.parts.pop_front()) {
                     permit.send(part);
                 }
-                Input::Sent
+                Input::PartSent
             }
-            (index, reply) = next(&mut self.streams), if reading => Input::Reply(index, reply),
-            choice = wait(&mut self.choice), if !self.ended => Input::Choice(choice),
-            verdict = vote(&mut self.verdict), if !self.ended => Input::Verdict(verdict),
+            (index, reply) = next_reply(&mut self.streams), if reading =>
+                Input::Reply(index, reply),
+            decision = await_decision(&mut self.decision), if !self.ended =>
+                Input::Decision(decision),
+            claim_result = await_claim_result(&mut self.claim_result), if !self.ended =>
+                Input::ClaimResult(claim_result),
         }
     }
 
-    async fn take(&mut self, input: Input) {
+    async fn handle(&mut self, input: Input) {
         match input {
-            Input::Sent => {}
-            Input::Wake if self.node.now() >= self.deadline + BACKSTOP => {
+            Input::PartSent => {}
+            Input::Wake if self.node.now() >= self.deadline + DEADLINE_GRACE => {
                 self.event(request::Event::Tick);
                 if !self.ended && self.actions.is_empty() {
                     let failure = outcome::Failure::may_have_run(
@@ -219,26 +224,26 @@
             }
             Input::Wake => {
                 self.event(request::Event::Tick);
-                self.gang_event(members::Event::Tick);
+                self.gang_event(entry_gang::Event::Tick);
             }
-            Input::Gone => {
+            Input::Disconnected => {
                 self.parts.clear();
                 self.event(request::Event::Disconnected);
             }
-            Input::Ending => self.event(request::Event::ShuttingDown),
+            Input::ShuttingDown => self.event(request::Event::ShuttingDown),
             Input::Reply(index, reply) => self.reply(index, reply).await,
-            Input::Choice(Ok(mut place)) => {
-                if let Some(plan) = place.gang.take() {
-                    return self.planned(place, plan);
+            Input::Decision(Ok(mut placement)) => {
+                if let Some(plan) = placement.gang.take() {
+                    return self.apply_plan(placement, plan);
                 }
-                // It fits on one engine after all.
+                // The prompt now fits on a single engine.
                 self.gang = None;
-                let target = place.target.clone();
-                self.place = Some(place);
+                let target = placement.target.clone();
+                self.placement = Some(placement);
                 self.event(request::Event::Chosen(target));
             }
-            Input::Choice(Err(failure)) => self.event(request::Event::Unplaced(failure)),
-            Input::Verdict(verdict) => self.event(request::Event::ClaimResult(verdict)),
+            Input::Decision(Err(failure)) => self.event(request::Event::Unplaced(failure)),
+            Input::ClaimResult(verdict) => self.event(request::Event::ClaimResult(verdict)),
         }
     }
 
@@ -251,29 +256,30 @@
 
     async fn reply(&mut self, index: usize, reply: Option<run::Reply>) {
         let attempt = self.streams[index].attempt();
-        if members::Gang::is_segment(attempt) {
+        if entry_gang::Gang::is_segment(attempt) {
             return self.segment_reply(index, reply);
         }
         let Some(reply) = reply else {
             self.streams.swap_remove(index);
-            self.note(attempt, job::Feedback::Lost).await;
+            self.send_feedback(attempt, job::Feedback::Lost).await;
             self.event(request::Event::Lost(attempt));
             return;
         };
-        let ends = match &reply {
+        let is_final = match &reply {
             run::Reply::Chunk { .. } | run::Reply::Head { .. } => {
-                self.note(attempt, job::Feedback::FirstOutput).await;
+                self.send_feedback(attempt, job::Feedback::FirstOutput)
+                    .await;
                 false
             }
             run::Reply::Refused { failure, load, .. } => {
-                self.note(attempt, job::Feedback::Refused(failure.cause, *load))
+                self.send_feedback(attempt, job::Feedback::Refused(failure.cause, *load))
                     .await;
                 true
             }
             run::Reply::Failed { failure, .. } => {
-                self.note(attempt, job::Feedback::Failed(failure.cause))
+                self.send_feedback(attempt, job::Feedback::Failed(failure.cause))
                     .await;
-                self.alarm(attempt, failure.cause).await;
+                self.propagate_suspect(attempt, failure.cause).await;
                 true
             }
             run::Reply::Done { usage, .. } => {
@@ -285,46 +291,46 @@
             | run::Reply::Held { .. }
             | run::Reply::Unknown(_) => false,
         };
-        if ends && reply.attempt() == attempt {
+        if is_final && reply.attempt() == attempt {
             self.streams.swap_remove(index);
         }
         self.event(request::Event::Reply(reply));
     }
 
-    /// After the death of an engine: has the suspects known before anything follows.
-    async fn alarm(&mut self, attempt: id::Attempt, cause: outcome::Cause) {
+    /// If an engine died under the request, makes its suspects known before anything else happens.
+    async fn propagate_suspect(&mut self, attempt: id::Attempt, cause: outcome::Cause) {
         let prompt = matches!(self.submission.work, run::Work::Prompt { .. });
         let is_current = self.current.is_some_and(|(current, _)| current == attempt);
         if cause != outcome::Cause::ServerLost || !prompt || !is_current {
             return;
         }
-        if let Some(place) = &self.place {
-            let server = place.target.server.clone();
-            let left = self.deadline.saturating_sub(self.node.now());
-            alarm::raise(&self.node, self.fingerprint, &server, left).await;
+        if let Some(placement) = &self.placement {
+            let server = placement.target.server.clone();
+            let time_left = self.deadline.saturating_sub(self.node.now());
+            suspect::propagate(&self.node, self.fingerprint, &server, time_left).await;
         }
     }
 
-    /// Tells the router what became of the current attempt.
-    async fn note(&mut self, attempt: id::Attempt, note: job::Feedback) {
-        let Some((current, first)) = &mut self.current else {
+    /// Sends the router feedback on the current attempt.
+    async fn send_feedback(&mut self, attempt: id::Attempt, feedback: job::Feedback) {
+        let Some((current, has_output)) = &mut self.current else {
             return;
         };
-        if *current != attempt || (*first && note == job::Feedback::FirstOutput) {
+        if *current != attempt || (*has_output && feedback == job::Feedback::FirstOutput) {
             return;
         }
-        *first |= note == job::Feedback::FirstOutput;
-        let event = router::Event::Feedback(self.submission.request, note);
-        self.core.tell(event).await;
+        *has_output |= feedback == job::Feedback::FirstOutput;
+        let event = router::Event::Feedback(self.submission.request, feedback);
+        self.core.send(event).await;
     }
 
-    async fn act(&mut self, action: request::Action) {
+    async fn perform(&mut self, action: request::Action) {
         match action {
             request::Action::Claim => self.claim(),
             request::Action::Settle(ran) => self.settle(ran),
             request::Action::Choose { retry, avoid } => {
-                if !self.gang_again(&avoid) {
-                    self.choose(retry, avoid);
+                if !self.restart_gang(&avoid) {
+                    self.request_placement(retry, avoid);
                 }
             }
             request::Action::Offer {
@@ -334,7 +340,7 @@
                 delivered,
             } => self.offer(&target, attempt, start, delivered),
             request::Action::Start(attempt) => {
-                self.sent();
+                self.mark_started();
                 if let Some(stream) = self.stream(attempt) {
                     stream.call(run::Call::Start(attempt));
                 }
@@ -355,52 +361,52 @@
                 self.open(&target, attempt, call, Bytes::new());
             }
             request::Action::Head { status, headers } => {
-                self.begin();
+                self.start_response();
                 self.parts.push_back(Part::Head { status, headers });
             }
             request::Action::Tokens(tokens) => {
-                self.begin();
+                self.start_response();
                 self.parts.push_back(Part::Tokens(tokens));
             }
             request::Action::Bytes(bytes) => self.parts.push_back(Part::Bytes(bytes)),
             request::Action::Done { end, usage } => {
                 self.usage = Some(usage);
                 self.count.done(self.class(), self.age());
-                self.end(Part::Done { end, usage });
+                self.finish(Part::Done { end, usage });
             }
             request::Action::Fail(failure) => {
                 self.usage = None;
                 self.count.failed(&failure);
-                self.end(Part::Failed(failure));
+                self.finish(Part::Failed(failure));
             }
         }
     }
 
-    /// Notes the first part of the answer.
-    fn begin(&mut self) {
-        if self.begun {
+    /// Records the time to the first part of the response.
+    fn start_response(&mut self) {
+        if self.response_started {
             return;
         }
-        self.begun = true;
+        self.response_started = true;
         let workspace = &self.submission.workspace;
         self.count
-            .first(&self.node.conf(), workspace, self.class(), self.age());
+            .first_output(&self.node.conf(), workspace, self.class(), self.age());
     }
 
     fn class(&self) -> run::Class {
-        let place = self.place.as_ref();
-        place.map_or(run::Class::Short, |place| place.class)
+        let placement = self.placement.as_ref();
+        placement.map_or(run::Class::Short, |placement| placement.class)
     }
 
-    /// Time since its receipt.
+    /// Time since the request was received.
     fn age(&self) -> Duration {
         self.node.now().saturating_sub(self.accepted)
     }
 
-    fn end(&mut self, part: Part) {
+    fn finish(&mut self, part: Part) {
         self.parts.push_back(part);
         self.ended = true;
-        self.disband();
+        self.release_gang();
     }
 
     fn stream(&mut self, attempt: id::Attempt) -> Option<&mut stream::Stream> {
@@ -410,17 +416,17 @@
     }
 
     async fn close(mut self) {
-        self.disband();
+        self.release_gang();
         for stream in self.streams {
             stream.release();
         }
         let event = router::Event::Close(self.submission.request, self.usage);
-        self.core.tell(event).await;
+        self.core.send(event).await;
     }
 }
 
-/// The next reply on any stream, with the stream's place.
-async fn next(streams: &mut [stream::Stream]) -> (usize, Option<run::Reply>) {
+/// The next reply on any stream, with the stream's index.
+async fn next_reply(streams: &mut [stream::Stream]) -> (usize, Option<run::Reply>) {
     poll_fn(|cx| {
         for (index, stream) in streams.iter_mut().enumerate() {
             if let Poll::Ready(reply) = pin!(stream.recv()).poll(cx) {
@@ -432,13 +438,15 @@
     .await
 }
 
-/// The router's choice; never ready while none is asked for.
-async fn wait(choice: &mut Option<oneshot::Receiver<core::Choice>>) -> core::Choice {
-    let Some(rx) = choice else {
+/// The router's decision. Never ready while no placement is requested.
+async fn await_decision(
+    decision: &mut Option<oneshot::Receiver<core::Decision>>,
+) -> core::Decision {
+    let Some(rx) = decision else {
         return std::future::pending().await;
     };
     let answer = rx.await;
-    *choice = None;
+    *decision = None;
     answer.unwrap_or_else(|_| {
         Err(outcome::Failure::not_run(
             outcome::Cause::Internal,
@@ -448,14 +456,14 @@
     })
 }
 
-/// Control's verdict; never ready while none is asked for.
-async fn vote(verdict: &mut Option<Verdict>) -> agree::Verdict {
-    let Some(asked) = verdict else {
+/// Control's answer to a claim. Never ready while no claim is proposed.
+async fn await_claim_result(claim_result: &mut Option<Proposal>) -> agree::Verdict {
+    let Some(proposal) = claim_result else {
         return std::future::pending().await;
     };
-    let answer = asked.await;
-    *verdict = None;
-    answer
+    let verdict = proposal.await;
+    *claim_result = None;
+    verdict
 }
 
 /// Fingerprint of a submission, and the hashes of its prompt's blocks.
@@ -475,7 +483,7 @@
         };
         (fingerprint, blocks)
     };
-    if submission.body.len() < LARGE_BODY {
+    if submission.body.len() < LARGE_BODY_BYTES {
         return work();
     }
     match tokio::task::spawn_blocking(work).await {
--- a/src/edge/entry/drive/ask.rs
+++ b/src/edge/entry/drive/calls.rs
@@ -1,5 +1,5 @@
-//! What a request asks of others: control, for its claim and the outcome of its run; the router, for
-//! a place; backend servers, to run it or to stop.
+//! Calls that a request makes: to control for its claim and the outcome of its run, to the router
+//! for a placement, and to sidecars to run or cancel an attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use super::Drive;
 use super::stream;
-use crate::entry::gang as members;
+use crate::entry::gang as entry_gang;
 use crate::entry::job;
 use crate::entry::request;
 use crate::wire::agree;
@@ -16,7 +16,7 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// How long the outcome of a claimed run is put to control.
+/// Timeout for proposing the outcome of a claimed run to control.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Drive {
@@ -32,9 +32,11 @@
             fingerprint: self.fingerprint,
             ttl_ms: self.node.conf().policy.claim_ttl_ms,
         };
-        let left = self.deadline.saturating_sub(self.node.now());
+        let time_left = self.deadline.saturating_sub(self.node.now());
         let node = Arc::clone(&self.node);
-        self.verdict = Some(Box::pin(async move { node.propose(command, left).await }));
+        self.claim_result = Some(Box::pin(
+            async move { node.propose(command, time_left).await },
+        ));
     }
 
     pub(super) fn settle(&self, ran: outcome::Ran) {
@@ -57,7 +59,7 @@
         tokio::spawn(async move { node.propose(command, SETTLE_TIMEOUT).await });
     }
 
-    pub(super) fn choose(&mut self, retry: bool, avoid: Vec<String>) {
+    pub(super) fn request_placement(&mut self, retry: bool, avoid: Vec<String>) {
         let (model, max_tokens) = match &self.submission.work {
             run::Work::Prompt {
                 model, max_tokens, ..
@@ -77,10 +79,10 @@
             retry,
             avoid,
         };
-        self.choice = self.core.place(job);
-        if self.choice.is_none() && self.gang.is_some() {
-            self.gang_event(members::Event::Planned(members::plan::Plan::Wait));
-        } else if self.choice.is_none() {
+        self.decision = self.core.place(job);
+        if self.decision.is_none() && self.gang.is_some() {
+            self.gang_event(entry_gang::Event::Planned(entry_gang::plan::Plan::Wait));
+        } else if self.decision.is_none() {
             let failure = outcome::Failure::not_run(
                 outcome::Cause::Busy,
                 Some(super::super::BUSY_RETRY_MS),
@@ -95,9 +97,9 @@
         target: &request::Target,
         attempt: id::Attempt,
         start: bool,
-        given: Vec<String>,
+        delivered_tokens: Vec<String>,
     ) {
-        let Some(place) = self.place.clone() else {
+        let Some(placement) = self.placement.clone() else {
             return;
         };
         let mut work = self.submission.work.clone();
@@ -109,28 +111,28 @@
             ..
         } = &mut work
         {
-            *prompt_tokens = place.prompt_tokens;
-            *delivered = given;
+            *prompt_tokens = placement.prompt_tokens;
+            *delivered = delivered_tokens;
             if let Some((segments, tail)) = self.final_run() {
                 *context = segments;
                 body = body.slice(tail..);
             }
         }
         if start {
-            self.sent();
+            self.mark_started();
         }
         let offer = run::Offer {
-            class: place.class,
+            class: placement.class,
             repeatable: self.submission.repeatable,
             start,
-            ..self.offer_of(target, attempt, place.priority, work, body.len())
+            ..self.build_offer(target, attempt, placement.priority, work, body.len())
         };
         self.current = Some((attempt, false));
         self.open(target, attempt, run::Call::Offer(Box::new(offer)), body);
     }
 
-    /// An offer to be started later, of work that may be repeated.
-    pub(super) fn offer_of(
+    /// An offer that is started later, of work that is safe to repeat.
+    pub(super) fn build_offer(
         &self,
         target: &request::Target,
         attempt: id::Attempt,
@@ -138,7 +140,7 @@
         work: run::Work,
         body_len: usize,
     ) -> run::Offer {
-        let left = self.deadline.saturating_sub(self.node.now());
+        let time_left = self.deadline.saturating_sub(self.node.now());
         run::Offer {
             attempt,
             entry: self.node.incarnation(),
@@ -149,7 +151,7 @@
             suspect: self.is_suspect(),
             class: run::Class::Long,
             priority,
-            remaining_ms: left.as_millis() as u64,
+            remaining_ms: time_left.as_millis() as u64,
             repeatable: true,
             start: false,
             body_len: body_len as u64,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Whether control knows of a backend server that died under the request.
+    /// Whether the current view lists the request as a suspect in the death of a backend server.
     fn is_suspect(&self) -> bool {
         let view = self.node.view();
         let mut suspects = view.suspects.iter();
--- a/src/edge/entry/drive/gang.rs
+++ b/src/edge/entry/drive/gang.rs
@@ -1,4 +1,4 @@
-//! A request whose prompt is served by several engines: carries out the actions of its gang.
+//! Carries out the actions of a gang: several engines that serve the prompt of one request.
 
 use super::Drive;
 use super::stream;
@@ -11,20 +11,21 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// The gang of a request, and what the final run needs of it.
-pub struct Driven {
+/// The gang of a request, and what the final run needs from it.
+pub struct State {
     gang: gang::Gang,
-    /// Servers to use only if there is no other.
+    /// Servers to use only if there are no others.
     avoid: Vec<String>,
-    /// The segments, in order, and where the tail of the prompt starts. `None`: not yet held.
+    /// The segments in order, and the byte offset in the prompt where the tail starts. `None` until
+    /// all segments are held.
     ready: Option<(Vec<run::Context>, usize)>,
     /// Whether the final run may have been started.
-    sent: bool,
+    may_have_started: bool,
 }
 
 impl Drive {
-    /// Takes the router's word on a gang's members.
-    pub(super) fn planned(&mut self, place: job::Placement, plan: plan::Plan) {
+    /// Applies the router's plan of the gang's members.
+    pub(super) fn apply_plan(&mut self, placement: job::Placement, plan: plan::Plan) {
         if self.gang.is_none() {
             let body = self.submission.body.clone();
             let max_tokens = match &self.submission.work {
@@ -39,65 +40,65 @@
                 deadline: self.deadline,
                 seed: self.submission.request.0 as u64,
             };
-            self.gang = Some(Driven {
+            self.gang = Some(State {
                 gang: gang::Gang::new(profile),
                 avoid: Vec::new(),
                 ready: None,
-                sent: false,
+                may_have_started: false,
             });
         }
-        self.place = Some(place);
+        self.placement = Some(placement);
         self.gang_event(gang::Event::Planned(plan));
     }
 
-    /// The final run failed: the gang starts again. `false`: there is none.
-    pub(super) fn gang_again(&mut self, avoid: &[String]) -> bool {
-        let Some(driven) = &mut self.gang else {
+    /// Restarts the gang after the final run failed. `false` if there is no gang.
+    pub(super) fn restart_gang(&mut self, avoid: &[String]) -> bool {
+        let Some(state) = &mut self.gang else {
             return false;
         };
-        driven.avoid = avoid.to_vec();
-        driven.ready = None;
-        driven.sent = false;
+        state.avoid = avoid.to_vec();
+        state.ready = None;
+        state.may_have_started = false;
         self.gang_event(gang::Event::Restart);
         true
     }
 
     pub(super) fn gang_event(&mut self, event: gang::Event) {
-        let Some(driven) = &mut self.gang else {
+        let Some(state) = &mut self.gang else {
             return;
         };
-        for action in driven.gang.step(self.node.now(), event) {
-            self.gang_act(action);
+        for action in state.gang.step(self.node.now(), event) {
+            self.perform_gang(action);
         }
     }
 
-    /// When the gang has something to do.
+    /// When the gang next has something to do.
     pub(super) fn gang_wake(&self) -> Option<std::time::Duration> {
-        self.gang.as_ref().map(|driven| driven.gang.wake())
+        self.gang.as_ref().map(|state| state.gang.wake())
     }
 
-    /// Gives back what the gang holds.
-    pub(super) fn disband(&mut self) {
+    /// Releases what the gang holds.
+    pub(super) fn release_gang(&mut self) {
         self.gang_event(gang::Event::Close);
     }
 
-    /// The context of the final run and the part of the prompt that is its own.
+    /// The context of the final run, and the byte offset where its own part of the prompt starts.
     pub(super) fn final_run(&self) -> Option<(Vec<run::Context>, usize)> {
         self.gang.as_ref()?.ready.clone()
     }
 
-    /// The final run may start from here on.
-    pub(super) fn sent(&mut self) {
-        if let Some(driven) = &mut self.gang {
-            driven.sent = true;
+    /// Records that the final run may have been started.
+    pub(super) fn mark_started(&mut self) {
+        if let Some(state) = &mut self.gang {
+            state.may_have_started = true;
         }
     }
 
-    fn gang_act(&mut self, action: gang::Action) {
+    fn perform_gang(&mut self, action: gang::Action) {
         match action {
             gang::Action::Plan { retry } => {
-                let avoid = self.gang.as_ref().map(|driven| driven.avoid.clone());
-                self.choose(retry, avoid.unwrap_or_default());
+                let avoid = self.gang.as_ref().map(|state| state.avoid.clone());
+                self.request_placement(retry, avoid.unwrap_or_default());
             }
             gang::Action::Offer {
                 target,
@@ -121,22 +122,22 @@
                 self.open(&target, attempt, call, bytes::Bytes::new());
             }
             gang::Action::Cancel(target, attempt) => self.cancel(&target, attempt),
-            gang::Action::Learn(bytes, tokens) => self.learned(bytes, tokens),
+            gang::Action::Learn(bytes, tokens) => self.report_tokens(bytes, tokens),
             gang::Action::Ready {
                 target,
                 context,
                 tail,
             } => {
-                if let Some(driven) = &mut self.gang {
-                    driven.ready = Some((context, tail));
+                if let Some(state) = &mut self.gang {
+                    state.ready = Some((context, tail));
                 }
-                if let Some(place) = &mut self.place {
-                    place.target = target.clone();
-                    place.prompt_tokens = plan::MAX_TAIL_TOKENS;
+                if let Some(placement) = &mut self.placement {
+                    placement.target = target.clone();
+                    placement.prompt_tokens = plan::MAX_TAIL_TOKENS;
                 }
                 self.event(request::Event::Chosen(target));
             }
-            gang::Action::StopRun(failure) => self.broken(failure),
+            gang::Action::StopRun(failure) => self.stop_final_run(failure),
             gang::Action::Fail(failure) => self.event(request::Event::Unplaced(failure)),
         }
     }
@@ -145,47 +146,51 @@
         &mut self,
         target: &request::Target,
         attempt: id::Attempt,
-        part: std::ops::Range<usize>,
+        range: std::ops::Range<usize>,
         tokens: u64,
-        room: u64,
+        final_tokens: u64,
     ) {
         let run::Work::Prompt { model, .. } = &self.submission.work else {
             return;
         };
-        let Some(place) = &self.place else {
+        let Some(placement) = &self.placement else {
             return;
         };
         let work = run::Work::Segment {
             model: model.clone(),
             prompt_tokens: tokens,
-            room,
+            room: final_tokens,
         };
-        // The prefill of a segment can be done again whatever its request is.
-        let offer = self.offer_of(target, attempt, place.priority, work, part.len());
-        let body = self.submission.body.slice(part);
+        // Prefilling a segment is safe to repeat, even if the request is not.
+        let offer = self.build_offer(target, attempt, placement.priority, work, range.len());
+        let body = self.submission.body.slice(range);
         self.open(target, attempt, run::Call::Offer(Box::new(offer)), body);
     }
 
-    fn learned(&self, bytes: u64, tokens: u64) {
+    fn report_tokens(&self, bytes: u64, tokens: u64) {
         if let run::Work::Prompt { model, .. } = &self.submission.work {
             let event = router::Event::Learned(model.clone(), bytes, tokens);
-            // An estimate alone: it may be lost.
-            self.core.try_tell(event);
+            // Only improves an estimate, so a full queue may drop it.
+            self.core.try_send(event);
         }
     }
 
-    /// A member was lost under the final run: it is stopped, and goes on elsewhere if it may.
-    fn broken(&mut self, mut failure: outcome::Failure) {
+    /// Cancels the final run after a member was lost, and reports it as failed. The request is then
+    /// retried elsewhere if that is allowed.
+    fn stop_final_run(&mut self, mut failure: outcome::Failure) {
         let Some((attempt, _)) = self.current else {
             return;
         };
-        let Some(place) = &self.place else {
+        let Some(placement) = &self.placement else {
             return;
         };
-        let target = place.target.clone();
+        let target = placement.target.clone();
         self.cancel(&target, attempt);
-        let sent = self.gang.as_ref().is_some_and(|driven| driven.sent);
-        if sent {
+        let may_have_started = self
+            .gang
+            .as_ref()
+            .is_some_and(|state| state.may_have_started);
+        if may_have_started {
             failure.ran = outcome::Ran::MayHaveRun;
             failure.retry_after_ms = None;
         } else {
@@ -197,14 +202,14 @@
         }));
     }
 
-    /// A reply on the stream of a segment, or its end.
+    /// Handles a reply on the stream of a segment, or `None` at the end of the stream.
     pub(super) fn segment_reply(&mut self, index: usize, reply: Option<run::Reply>) {
         let attempt = self.streams[index].attempt();
         let Some(reply) = reply else {
             self.streams.swap_remove(index);
             return self.gang_event(gang::Event::Lost(attempt));
         };
-        if stream::Stream::ends(&reply) && reply.attempt() == attempt {
+        if stream::Stream::is_final(&reply) && reply.attempt() == attempt {
             self.streams.swap_remove(index);
         }
         self.gang_event(gang::Event::Reply(reply));
--- a/src/edge/entry/hello.rs
+++ b/src/edge/entry/hello.rs
@@ -1,4 +1,4 @@
-//! Tells control that this entry is there, each period, and takes its word on who else is.
+//! Sends control a periodic hello with this entry's address, and stores the view that it returns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 /// Time between two hellos.
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// Says hello until the process ends.
+/// Sends hellos until the process ends.
 pub async fn run(node: Arc<node::Node>) {
     let mut turn = 0;
     loop {
-        say(&node, turn, node::ASK_TIMEOUT).await;
+        send(&node, turn, node::ASK_TIMEOUT).await;
         turn = turn.wrapping_add(1);
         time::sleep(PERIOD).await;
     }
 }
 
-/// Asks the control processes from the `turn`-th on until one answers, each for `patience`.
-pub async fn say(node: &Arc<node::Node>, turn: usize, patience: Duration) {
+/// Sends a hello to the control processes, one after another from number `turn` on, until one
+/// answers. `timeout` applies to each.
+pub async fn send(node: &Arc<node::Node>, turn: usize, timeout: Duration) {
     let settings = node.settings();
     let ask = rpc::Ask::Hello(member::Peer {
         role: member::Role::Entry,
@@ -40,7 +41,7 @@
     let first = turn % addrs.len();
     addrs.rotate_left(first);
     for addr in addrs {
-        if let Ok(rpc::Answer::View(view)) = node.link(addr).ask(&ask, patience).await {
+        if let Ok(rpc::Answer::View(view)) = node.link(addr).ask(&ask, timeout).await {
             node.set_view(view);
             return;
         }
--- a/src/edge/entry/stream.rs
+++ b/src/edge/entry/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of one attempt to a sidecar: a writing task, and replies read in place.
+//! The stream of one attempt to a sidecar: a task writes the calls, the owner reads the replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::wire::id;
 use crate::wire::run;
 
-/// Largest part of a body in one frame.
-const BODY_PART: usize = 256 << 10;
+/// Maximum bytes of a body in one frame.
+const BODY_CHUNK_BYTES: usize = 256 << 10;
 
-/// Calls that wait for the writing task: at most a start and some cancels.
-const CALLS: usize = 8;
+/// Calls queued for the writing task: at most a start and some cancels.
+const CALL_QUEUE: usize = 8;
 
-/// How long a stream is kept to bring a cancel home after its request ended.
-const LINGER: Duration = Duration::from_millis(2_000);
+/// How long a stream stays open after its request ended, so that a cancel is delivered.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 enum Replies {
     Opening(oneshot::Receiver<link::Receiver<run::Reply>>),
@@ -37,7 +37,7 @@
 }
 
 impl Stream {
-    /// Opens a stream; `first` is its first call, `body` follows it.
+    /// Opens a stream. `first` is its first call, and `body` follows it.
     pub fn open(
         node: &Arc<node::Node>,
         target: &request::Target,
@@ -45,12 +45,12 @@
         first: run::Call,
         body: Bytes,
     ) -> Self {
-        let (calls, rx) = mpsc::channel(CALLS);
+        let (calls, rx) = mpsc::channel(CALL_QUEUE);
         let (opened, replies) = oneshot::channel();
         let link = node.link(target.link);
         let cancelled = matches!(first, run::Call::Cancel(_));
         tokio::spawn(async move {
-            // A failure shows at the reading side.
+            // The reading side sees a failure as the end of the stream.
             let _ = write(&link, first, body, rx, opened).await;
         });
         Self {
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether nothing follows a reply on its stream.
-    pub fn ends(reply: &run::Reply) -> bool {
+    /// Whether a reply is the last on its stream.
+    pub fn is_final(reply: &run::Reply) -> bool {
         match reply {
             run::Reply::Refused { .. }
             | run::Reply::Failed { .. }
@@ -76,18 +76,17 @@
         }
     }
 
-    /// The attempt that it belongs to.
     pub fn attempt(&self) -> id::Attempt {
         self.attempt
     }
 
-    /// Sends a call after those sent before. A stream that has failed drops it.
+    /// Queues a call. A stream that has failed drops it.
     pub fn call(&mut self, call: run::Call) {
         self.cancelled |= matches!(call, run::Call::Cancel(_));
         let _ = self.calls.try_send(call);
     }
 
-    /// The next reply; `None`: the stream failed or ended. Cancel safe.
+    /// The next reply, or `None` if the stream failed or ended. Cancel safe.
     pub async fn recv(&mut self) -> Option<run::Reply> {
         if let Replies::Opening(opening) = &mut self.replies {
             let rx = opening.await.ok()?;
@@ -99,19 +98,19 @@
         }
     }
 
-    /// Lets a cancel go out after the request has ended; otherwise closes the stream.
+    /// Closes the stream, after a pending cancel was delivered.
     pub fn release(mut self) {
         if !self.cancelled {
             return;
         }
         tokio::spawn(async move {
             let ended = async { while self.recv().await.is_some() {} };
-            let _ = time::timeout(LINGER, ended).await;
+            let _ = time::timeout(CANCEL_TIMEOUT, ended).await;
         });
     }
 }
 
-/// Sends the first call, the body, and then what comes over `calls` until their sender is gone.
+/// Sends the first call, the body, and then the calls from `calls` until their sender is dropped.
 /// A cancel ends the body early.
 async fn write(
     link: &node::Link,
@@ -123,22 +122,22 @@
     let (mut tx, rx) = link.run().await?;
     let _ = opened.send(rx);
     tx.send(&first).await?;
-    let mut rest = body;
-    while !rest.is_empty() {
+    let mut remaining = body;
+    while !remaining.is_empty() {
         match calls.try_recv() {
             Ok(call) => {
                 let cancel = matches!(call, run::Call::Cancel(_));
                 tx.send(&call).await?;
                 if cancel {
-                    rest.clear();
+                    remaining.clear();
                     continue;
                 }
             }
             Err(mpsc::error::TryRecvError::Empty) => {}
             Err(mpsc::error::TryRecvError::Disconnected) => return Ok(()),
         }
-        let part = rest.split_to(rest.len().min(BODY_PART));
-        tx.send(&run::Call::Body(part)).await?;
+        let chunk = remaining.split_to(remaining.len().min(BODY_CHUNK_BYTES));
+        tx.send(&run::Call::Body(chunk)).await?;
     }
     while let Some(call) = calls.recv().await {
         tx.send(&call).await?;
--- a/src/edge/entry/alarm.rs
+++ b/src/edge/entry/suspect.rs
@@ -1,7 +1,9 @@
-//! After a backend server died under a request: before the request goes elsewhere or its caller
-//! is answered, this entry has the quorum's word on the suspects, and the other entries are told.
-//! Otherwise suspects would meet on another server, or run again at another entry, until the next
-//! hello.
+//! Spreads the suspects of a backend server's death: the requests that ran there when it died.
+//!
+//! Before such a request is retried or its caller is answered, this entry fetches the suspects
+//! agreed by the quorum and sends them to the other entries. Otherwise, until the next hello,
+//! several suspects could be placed on the same server, or a suspect could run again at another
+//! entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,37 +17,39 @@
 use crate::wire::member;
 use crate::wire::rpc;
 
-/// Longest wait for the quorum's word, and for other entries to take it.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+/// Timeout for fetching the suspects from the quorum and sending them to the other entries.
+const PROPAGATE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Pause before control is asked again.
-const PAUSE: Duration = Duration::from_millis(20);
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Time for one control process to answer: one that is silent must not take up all the wait.
-const ASK_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout for one control process. Short, so that an unresponsive one does not use up
+/// [`PROPAGATE_TIMEOUT`].
+const HELLO_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time for another entry to take the news.
+/// Timeout for another entry to acknowledge the suspects.
 const SHARE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Waits, `left` at the most, until it is known here and told that `server` died under a request.
-pub async fn raise(
+/// Waits until the view names the request as a suspect in the death of `server` and the other
+/// entries know it, but no longer than `time_left`.
+pub async fn propagate(
     node: &Arc<node::Node>,
     fingerprint: id::Fingerprint,
     server: &str,
-    left: Duration,
+    time_left: Duration,
 ) {
-    let told = async {
+    let propagated = async {
         let mut turn = 0;
         while !is_known(node, fingerprint, server) {
-            hello::say(node, turn, ASK_TIMEOUT).await;
+            hello::send(node, turn, HELLO_TIMEOUT).await;
             turn += 1;
             if !is_known(node, fingerprint, server) {
-                time::sleep(PAUSE).await;
+                time::sleep(RETRY_PAUSE).await;
             }
         }
         share(node).await;
     };
-    let _ = time::timeout(left.min(PATIENCE), told).await;
+    let _ = time::timeout(time_left.min(PROPAGATE_TIMEOUT), propagated).await;
 }
 
 fn is_known(node: &node::Node, fingerprint: id::Fingerprint, server: &str) -> bool {
@@ -55,7 +59,7 @@
     found.is_some_and(|suspect| suspect.servers.iter().any(|dead| dead == server))
 }
 
-/// Tells the other entries of the suspects known here.
+/// Sends the suspects in the current view to the other entries.
 async fn share(node: &Arc<node::Node>) {
     let view = node.view();
     node.add_suspects(&view.suspects);
