--- a/src/edge/http.rs
+++ b/src/edge/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP listener of a process, by rocket: callers, backend servers, operators and health.
+//! The HTTP listener of a process, based on rocket: routes for callers, backend servers, operators
+//! and health checks.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -23,38 +24,39 @@
 pub mod openai;
 pub mod services;
 
-/// Grace and mercy of rocket's shutdown in seconds. The drain is ours: when rocket is told to
-/// stop, nothing is in progress any more, or the drain limit has passed.
-const STOP_SECONDS: u32 = 2;
+/// Grace and mercy periods of rocket's shutdown. Short, because the process drains before it shuts
+/// rocket down: by then nothing is in progress, or the drain limit has passed.
+const SHUTDOWN_SECONDS: u32 = 2;
 
-/// Seconds that an idle connection is kept.
+/// Idle timeout of a connection.
 const KEEP_ALIVE_SECONDS: u32 = 30;
 
-/// How long a fresh entry waits for backend servers of every service to announce themselves before
-/// it says that it is ready: a lease, in which whoever is there has done so.
-const GATHER: Duration = Duration::from_secs(3);
+/// How long a starting entry waits for a backend server of every service to announce itself before
+/// it reports ready anyway. One lease: every live server announces itself within it.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time from a start in which whoever is there announces itself: a sidecar that told the entry's
-/// former life does so again after a second at the latest, and looks each quarter of one. An entry
-/// that was ready sooner refused all (`no_server`) when the one server that it knew left.
-const SETTLE: Duration = Duration::from_millis(1_250);
+/// Minimum time from the start until an entry reports ready, so that it knows all live servers. A
+/// sidecar that last announced its server to the previous process at this address repeats the
+/// announcement within 1 s, and checks every 250 ms. An entry that was ready earlier rejected all
+/// requests with `no_server` when the only server that it knew left.
+const MIN_DISCOVERY: Duration = Duration::from_millis(1_250);
 
 /// Settings of the HTTP listener.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Key of operators and of whoever reads metrics.
+    /// Key for operator routes and for `/metrics`.
     pub operator_key: String,
-    /// Key of the backend server beside a sidecar.
+    /// Key of the backend server next to a sidecar.
     pub backend_key: String,
-    /// Most bytes of callers' bodies held at once.
+    /// Maximum total bytes of callers' bodies in memory.
     pub body_memory: usize,
-    /// Time for a body to come.
+    /// Timeout for receiving a body.
     pub body_timeout: Duration,
 }
 
-/// What all routes share.
+/// State shared by all routes.
 pub struct Front {
     node: Arc<node::Node>,
     auth: auth::Auth,
@@ -63,7 +65,7 @@
 }
 
 impl Front {
-    /// What the routes of `node` share.
+    /// Creates the shared state for the routes of `node`.
     pub fn new(node: &Arc<node::Node>, settings: &Settings) -> Arc<Self> {
         Arc::new(Self {
             node: Arc::clone(node),
@@ -73,12 +75,12 @@
         })
     }
 
-    /// The process.
     pub fn node(&self) -> &Arc<node::Node> {
         &self.node
     }
 
-    /// Tells the balancer, through `/readyz`, to send no more; what still comes is served.
+    /// Makes `/readyz` fail, so that the load balancer stops sending requests. Requests that still
+    /// arrive are served.
     pub fn unready(&self) {
         self.ready.store(false, Ordering::Release);
     }
@@ -89,8 +91,8 @@
     let shutdown = config::Shutdown {
         ctrlc: false,
         signals: HashSet::new(),
-        grace: STOP_SECONDS,
-        mercy: STOP_SECONDS,
+        grace: SHUTDOWN_SECONDS,
+        mercy: SHUTDOWN_SECONDS,
         force: false,
         ..config::Shutdown::default()
     };
@@ -118,13 +120,13 @@
     rocket
 }
 
-/// Whether the process lives.
+/// Liveness check.
 #[rocket::get("/healthz")]
 fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// Whether the balancer may send work here.
+/// Readiness check of the load balancer.
 #[rocket::get("/readyz")]
 async fn readyz(front: &rocket::State<Arc<Front>>) -> (Status, &'static str) {
     let node = &front.node;
@@ -135,8 +137,8 @@
         return (Status::ServiceUnavailable, "no configuration yet\n");
     }
     let now = node.now();
-    let is_settling = node.entry().is_some() && now < SETTLE;
-    if is_settling || (now < GATHER && !gathered(node).await) {
+    let is_starting = node.entry().is_some() && now < MIN_DISCOVERY;
+    if is_starting || (now < DISCOVERY_TIMEOUT && !knows_all_services(node).await) {
         return (
             Status::ServiceUnavailable,
             "backend servers not known yet\n",
@@ -145,22 +147,22 @@
     (Status::Ok, "ready\n")
 }
 
-/// Whether an entry knows a backend server of every service.
-async fn gathered(node: &node::Node) -> bool {
+/// Whether the entry knows a live backend server of every service. True without the entry role.
+async fn knows_all_services(node: &node::Node) -> bool {
     let Some(entry) = node.entry() else {
         return true;
     };
-    let present = entry.servers().await.unwrap_or_default();
+    let live = entry.servers().await.unwrap_or_default();
     let conf = node.conf();
     let mut services = conf.service.keys();
-    services.all(|name| present.iter().any(|server| server.service == *name))
+    services.all(|name| live.iter().any(|server| server.service == *name))
 }
 
 #[rocket::get("/metrics")]
 fn metrics(
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
-) -> Result<(ContentType, String), answer::Refusal> {
+) -> Result<(ContentType, String), answer::Error> {
     front.auth.operator(&headers)?;
     let kind = ContentType::new("application", "openmetrics-text")
         .with_params([("version", "1.0.0"), ("charset", "utf-8")]);
@@ -168,7 +170,7 @@
 }
 
 #[rocket::catch(default)]
-fn unmatched(status: Status, request: &rocket::Request<'_>) -> answer::Refusal {
+fn unmatched(status: Status, request: &rocket::Request<'_>) -> answer::Error {
     let cause = match status.code {
         401 => outcome::Cause::Unauthorized,
         404 | 405 => outcome::Cause::NotFound,
@@ -177,5 +179,5 @@
         _ => outcome::Cause::Internal,
     };
     let text = format!("{} {}: {status}", request.method(), request.uri().path());
-    answer::Refusal::new(outcome::Failure::not_run(cause, None, &text))
+    answer::Error::new(outcome::Failure::not_run(cause, None, &text))
 }
--- a/src/edge/http/admin.rs
+++ b/src/edge/http/admin.rs
@@ -1,4 +1,4 @@
-//! `/admin/v1`: what operators see and do. The command-line tool talks to these.
+//! `/admin/v1`: the operators' API, which the command-line tool uses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,25 +19,34 @@
 use crate::wire::outcome;
 use crate::wire::rpc;
 
-/// Time for a change of configuration to be agreed.
+/// Timeout for committing a configuration change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When to ask again after the entry was busy, in milliseconds.
+/// Delay before an operator should retry after a busy process, in milliseconds.
 const BUSY_RETRY_MS: u64 = 200;
 
-/// Revisions that the history shows.
-const HISTORY: usize = 100;
+/// Maximum number of revisions in the history.
+const MAX_HISTORY: usize = 100;
 
-type Json = Result<(ContentType, String), answer::Refusal>;
+type Json = Result<(ContentType, String), answer::Error>;
 
 /// The routes, below `/admin/v1`.
 pub fn routes() -> Vec<rocket::Route> {
     rocket::routes![
-        status, config, change, drain, servers, orders, history, past, members, replace
+        status,
+        config,
+        change,
+        drain,
+        servers,
+        orders,
+        history,
+        revision_files,
+        members,
+        change_members
     ]
 }
 
-/// What a process says of itself.
+/// The status of a process.
 #[derive(Serialize)]
 struct Status<'a> {
     name: &'a str,
@@ -45,14 +54,14 @@
     roles: Vec<&'static str>,
     incarnation: u64,
     uptime_seconds: u64,
-    /// Revision of the configuration in force here.
+    /// Revision of the configuration that this process uses.
     revision: u64,
-    /// Newest revision heard of.
+    /// Newest revision reported by any process.
     heard: u64,
     draining: bool,
     in_progress: usize,
     view: &'a rpc::View,
-    /// All that said hello to this control process lately.
+    /// All processes that recently sent a hello to this control process.
     present: Vec<member::Peer>,
     control: Option<replica::Status>,
 }
@@ -66,7 +75,7 @@
         ("sidecar", node.sidecar().is_some()),
         ("control", node.control().is_some()),
     ];
-    let standing = match node.control() {
+    let control_status = match node.control() {
         Some(role) => role.status().await,
         None => None,
     };
@@ -85,12 +94,12 @@
             .control()
             .map(|role| role.present())
             .unwrap_or_default(),
-        control: standing,
+        control: control_status,
     };
     json(&status)
 }
 
-/// A backend server, as this entry sees it.
+/// A backend server, by its last announcement to this entry.
 #[derive(Serialize)]
 struct Server {
     name: String,
@@ -107,14 +116,14 @@
 async fn servers(front: &rocket::State<Arc<Front>>, headers: auth::Headers<'_>) -> Json {
     front.auth.operator(&headers)?;
     let Some(role) = front.node().entry() else {
-        return Err(answer::Refusal::bad_request(
+        return Err(answer::Error::bad_request(
             "only an entry lists backend servers",
         ));
     };
-    let Some(present) = role.servers().await else {
+    let Some(live) = role.servers().await else {
         return Err(busy());
     };
-    let mut list: Vec<Server> = present.into_iter().map(Server::from).collect();
+    let mut list: Vec<Server> = live.into_iter().map(Server::from).collect();
     list.sort_by(|a, b| a.name.cmp(&b.name));
     json(&list)
 }
@@ -134,7 +143,7 @@
     }
 }
 
-/// The configuration in force.
+/// The files of a revision of the configuration.
 #[derive(Serialize)]
 struct Folder {
     revision: u64,
@@ -160,11 +169,14 @@
     unix_ms: u64,
 }
 
-/// The last revisions, newest first.
+/// The latest revisions, newest first.
 #[rocket::get("/history")]
 async fn history(front: &rocket::State<Arc<Front>>, headers: auth::Headers<'_>) -> Json {
     front.auth.operator(&headers)?;
-    let rows = control(front)?.history(HISTORY).await.ok_or_else(busy)?;
+    let rows = control(front)?
+        .history(MAX_HISTORY)
+        .await
+        .ok_or_else(busy)?;
     let rows: Vec<Row> = rows.into_iter().map(Row::from).collect();
     json(&rows)
 }
@@ -182,7 +194,7 @@
 
 /// The files of an earlier revision.
 #[rocket::get("/config/<revision>")]
-async fn past(
+async fn revision_files(
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
     revision: u64,
@@ -192,50 +204,49 @@
     let Some(files) = files else {
         let text = format!("the content of revision {revision} is not kept");
         let failure = outcome::Failure::not_run(outcome::Cause::NotFound, None, &text);
-        return Err(answer::Refusal::new(failure));
+        return Err(answer::Error::new(failure));
     };
     json(&Folder { revision, files })
 }
 
-/// What this control process knows of the members.
+/// The status of this control process, with the members that it knows.
 #[rocket::get("/members")]
 async fn members(front: &rocket::State<Arc<Front>>, headers: auth::Headers<'_>) -> Json {
     front.auth.operator(&headers)?;
     json(&control(front)?.status().await.ok_or_else(busy)?)
 }
 
-/// Changes the members.
+/// Adds, removes or replaces a member.
 #[rocket::post("/members", data = "<data>")]
-async fn replace(
+async fn change_members(
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
     data: rocket::Data<'_>,
 ) -> Json {
-    let order = read(front, &headers, data).await?;
+    let order = read_json(front, &headers, data).await?;
     json(&control(front)?.order(order).await)
 }
 
-/// An operator's order, from the JSON of its body.
-async fn read<T: DeserializeOwned>(
+/// Checks the operators' key and parses the JSON body.
+async fn read_json<T: DeserializeOwned>(
     front: &Front,
     headers: &auth::Headers<'_>,
     data: rocket::Data<'_>,
-) -> Result<T, answer::Refusal> {
+) -> Result<T, answer::Error> {
     front.auth.operator(headers)?;
     let body = front.bodies.read(headers, data).await?;
-    serde_json::from_slice(&body.bytes)
-        .map_err(|err| answer::Refusal::bad_request(&err.to_string()))
+    serde_json::from_slice(&body.bytes).map_err(|err| answer::Error::bad_request(&err.to_string()))
 }
 
-fn control(front: &Front) -> Result<&Arc<edge_control::Control>, answer::Refusal> {
+fn control(front: &Front) -> Result<&Arc<edge_control::Control>, answer::Error> {
     let role = front.node().control();
-    role.ok_or_else(|| answer::Refusal::bad_request("this is not a control process"))
+    role.ok_or_else(|| answer::Error::bad_request("this is not a control process"))
 }
 
-fn busy() -> answer::Refusal {
+fn busy() -> answer::Error {
     let text = "the process is busy";
     let failure = outcome::Failure::not_run(outcome::Cause::Busy, Some(BUSY_RETRY_MS), text);
-    answer::Refusal::new(failure)
+    answer::Error::new(failure)
 }
 
 #[rocket::post("/config", data = "<data>")]
@@ -244,34 +255,35 @@
     headers: auth::Headers<'_>,
     data: rocket::Data<'_>,
 ) -> Json {
-    let change: agree::Change = read(front, &headers, data).await?;
+    let change: agree::Change = read_json(front, &headers, data).await?;
     let command = agree::Command::Configure(change);
     let verdict = front.node().propose(command, CHANGE_TIMEOUT).await;
     json(&verdict)
 }
 
-/// Carries out an order at a backend server; its fencing number.
+/// Sends an order to a backend server. Returns its fencing number.
 #[rocket::post("/orders", data = "<data>")]
 async fn orders(
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
     data: rocket::Data<'_>,
 ) -> Json {
-    let wish: order::Wish = read(front, &headers, data).await?;
+    let wish: order::Wish = read_json(front, &headers, data).await?;
     let Some(role) = front.node().entry() else {
-        return Err(answer::Refusal::bad_request("orders are given at an entry"));
+        return Err(answer::Error::bad_request("orders are given at an entry"));
     };
-    let present = role.servers().await.unwrap_or_default();
-    let Some(found) = present.iter().find(|known| known.server == wish.server) else {
+    let live = role.servers().await.unwrap_or_default();
+    let Some(server) = live.iter().find(|announce| announce.server == wish.server) else {
         let text = format!("no backend server {:?} is present", wish.server);
         let failure = outcome::Failure::not_run(outcome::Cause::NoServer, None, &text);
-        return Err(answer::Refusal::new(failure));
+        return Err(answer::Error::new(failure));
     };
-    let placed = order::place(front.node(), found.link, wish).await;
-    json(&placed.map_err(answer::Refusal::new)?)
+    let placed = order::place(front.node(), server.link, wish).await;
+    json(&placed.map_err(answer::Error::new)?)
 }
 
-/// No new work for this process's backend server or callers; work in progress goes on.
+/// Drains this process: no new work is accepted, and work in progress continues. Returns the number
+/// of requests in progress.
 #[rocket::post("/drain")]
 fn drain(front: &rocket::State<Arc<Front>>, headers: auth::Headers<'_>) -> Json {
     front.auth.operator(&headers)?;
@@ -282,7 +294,7 @@
 fn json<T: Serialize>(value: &T) -> Json {
     match serde_json::to_string(value) {
         Ok(text) => Ok((ContentType::JSON, text)),
-        Err(err) => Err(answer::Refusal::new(outcome::Failure::not_run(
+        Err(err) => Err(answer::Error::new(outcome::Failure::not_run(
             outcome::Cause::Internal,
             None,
             &err.to_string(),
--- a/src/edge/http/announce.rs
+++ b/src/edge/http/announce.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/announce`: a backend server tells its sidecar that it is there.
+//! `POST /v1/announce`: a backend server announces itself to its sidecar.
 
 use std::sync::Arc;
 
@@ -19,13 +19,13 @@
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
     data: rocket::Data<'_>,
-) -> Result<(ContentType, String), answer::Refusal> {
+) -> Result<(ContentType, String), answer::Error> {
     front.auth.backend(&headers)?;
     let body = front.bodies.read(&headers, data).await?;
     let announcement: sidecar::Announcement = serde_json::from_slice(&body.bytes)
-        .map_err(|err| answer::Refusal::bad_request(&err.to_string()))?;
+        .map_err(|err| answer::Error::bad_request(&err.to_string()))?;
     let Some(role) = front.node().sidecar() else {
-        return Err(answer::Refusal::bad_request("no sidecar here"));
+        return Err(answer::Error::bad_request("no sidecar here"));
     };
     let presence = role.announce(announcement);
     Ok((
--- a/src/edge/http/answer.rs
+++ b/src/edge/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: errors in one JSON form, and bodies that are cut when they fail.
+//! Responses to callers: errors in one JSON format, and bodies that are truncated on failure.
 
 use std::io;
 use std::pin::Pin;
@@ -23,23 +23,23 @@
 /// Header with the id of the request.
 pub const REQUEST_ID: &str = "X-Request-Id";
 
-/// An error answer.
+/// An error response.
 #[derive(Clone, Debug)]
-pub struct Refusal {
-    /// Why, whether it ran, when to come back.
+pub struct Error {
+    /// The cause, whether the request ran, and when to retry.
     pub failure: outcome::Failure,
-    /// The request, once it has an id.
+    /// The request, if it has an id already.
     pub request: Option<id::Request>,
 }
 
 #[derive(Serialize)]
 struct Envelope<'a> {
-    error: Error<'a>,
+    error: Detail<'a>,
 }
 
-/// The `error` object, a superset of the one that OpenAI clients know.
+/// The `error` object, a superset of that of the OpenAI API.
 #[derive(Serialize)]
-struct Error<'a> {
+struct Detail<'a> {
     message: &'a str,
     #[serde(rename = "type")]
     kind: &'static str,
@@ -50,8 +50,8 @@
     request_id: Option<String>,
 }
 
-impl Refusal {
-    /// An error answer without a request id.
+impl Error {
+    /// An error response without a request id.
     pub fn new(failure: outcome::Failure) -> Self {
         Self {
             failure,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// An error answer to what is malformed.
+    /// An error response to a malformed request.
     pub fn bad_request(text: &str) -> Self {
         Self::new(bad_request(text))
     }
 
-    /// An error answer to a request.
+    /// An error response to a request.
     pub fn of(request: id::Request, failure: outcome::Failure) -> Self {
         Self {
             failure,
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Its JSON text.
+    /// The body as JSON.
     pub fn json(&self) -> String {
-        let error = Error {
+        let error = Detail {
             message: &self.failure.message,
             kind: kind(self.failure.cause),
             code: self.failure.cause.code(),
@@ -87,17 +87,17 @@
     }
 }
 
-/// The failure of what is malformed.
+/// The failure of a malformed request.
 pub fn bad_request(text: &str) -> outcome::Failure {
     outcome::Failure::not_run(outcome::Cause::BadRequest, None, text)
 }
 
-/// The failure of an answer that ended without its end mark.
-pub fn cut() -> outcome::Failure {
+/// The failure of a response that ended without its final part.
+pub fn incomplete() -> outcome::Failure {
     outcome::Failure::may_have_run(outcome::Cause::Internal, "the answer was cut off")
 }
 
-/// The coarse kind of error, in the words that OpenAI clients know.
+/// The error type of the OpenAI API.
 fn kind(cause: outcome::Cause) -> &'static str {
     match cause.status() {
         401 => "authentication_error",
@@ -107,27 +107,27 @@
     }
 }
 
-impl<'r> response::Responder<'r, 'static> for Refusal {
+impl<'r> response::Responder<'r, 'static> for Error {
     fn respond_to(self, request: &'r Request<'_>) -> response::Result<'static> {
         let status = Status::new(self.failure.cause.status());
-        let mut answer = response::Response::build_from(self.json().respond_to(request)?);
-        answer.status(status).header(ContentType::JSON);
+        let mut builder = response::Response::build_from(self.json().respond_to(request)?);
+        builder.status(status).header(ContentType::JSON);
         if let Some(millis) = self.failure.retry_after_ms {
             let seconds = millis.div_ceil(1_000).max(1);
-            answer.header(Header::new("Retry-After", seconds.to_string()));
+            builder.header(Header::new("Retry-After", seconds.to_string()));
         }
         if let Some(id) = self.request {
-            answer.header(Header::new(REQUEST_ID, id.to_string()));
+            builder.header(Header::new(REQUEST_ID, id.to_string()));
         }
-        answer.ok()
+        builder.ok()
     }
 }
 
-/// A JSON answer to a request.
+/// A JSON response to a request.
 pub struct Json {
     /// The request.
     pub request: id::Request,
-    /// The text.
+    /// The body.
     pub text: String,
 }
 
@@ -140,30 +140,30 @@
     }
 }
 
-/// The body of a plain service's answer, as its parts come. A failed part fails the read, and
-/// the announced length is then not reached, so the caller sees a cut, never a short whole.
-pub struct Parts {
+/// Reads the body of a plain service's response from its parts. A failure fails the read before the
+/// announced Content-Length is reached, so the caller cannot take the body for complete.
+pub struct Reader {
     rx: mpsc::Receiver<entry::Part>,
-    rest: Bytes,
+    buffered: Bytes,
 }
 
-impl Parts {
-    /// The body that comes over `rx`, of which `rest` came already.
-    pub fn new(rx: mpsc::Receiver<entry::Part>, rest: Bytes) -> Self {
-        Self { rx, rest }
+impl Reader {
+    /// A reader of the parts from `rx`, after the bytes in `buffered`.
+    pub fn new(rx: mpsc::Receiver<entry::Part>, buffered: Bytes) -> Self {
+        Self { rx, buffered }
     }
 }
 
-impl AsyncRead for Parts {
+impl AsyncRead for Reader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        while self.rest.is_empty() {
+        while self.buffered.is_empty() {
             match self.rx.poll_recv(cx) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(Some(entry::Part::Bytes(bytes))) => self.rest = bytes,
+                Poll::Ready(Some(entry::Part::Bytes(bytes))) => self.buffered = bytes,
                 Poll::Ready(Some(entry::Part::Done { .. })) => return Poll::Ready(Ok(())),
                 Poll::Ready(Some(entry::Part::Failed(failure))) => {
                     return Poll::Ready(Err(io::Error::other(failure.message)));
@@ -174,8 +174,8 @@
                 }
             }
         }
-        let len = self.rest.len().min(buf.remaining());
-        buf.put_slice(&self.rest.split_to(len));
+        let len = self.buffered.len().min(buf.remaining());
+        buf.put_slice(&self.buffered.split_to(len));
         Poll::Ready(Ok(()))
     }
 }
--- a/src/edge/http/auth.rs
+++ b/src/edge/http/auth.rs
@@ -1,6 +1,6 @@
-//! Who may do what: workspace keys, the operators' key and the backend server's key.
+//! Authentication by workspace keys, the operators' key and the backend server's key.
 //!
-//! Keys are compared as BLAKE3 hashes in constant time. Nothing here is ever logged.
+//! Keys are compared as BLAKE3 hashes in constant time. Keys and their hashes are never logged.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -29,13 +29,14 @@
     }
 }
 
-/// Bytes of a key's hash by which it is looked up; the rest is compared in constant time.
-const PREFIX: usize = 8;
+/// Number of hex digits of a key's hash that select the candidates. Their full hashes are compared
+/// in constant time.
+const PREFIX_LEN: usize = 8;
 
-/// When to come back to an entry without a configuration, in milliseconds.
+/// Delay before a caller should retry at an entry without a configuration, in milliseconds.
 const RETRY_MS: u64 = 1_000;
 
-/// Workspaces by key, for one revision of the configuration.
+/// Workspaces by key hash, for one revision of the configuration.
 #[derive(Default)]
 struct Index {
     revision: u64,
@@ -50,7 +51,7 @@
 }
 
 impl Auth {
-    /// Checks against these keys and the workspaces of the configuration in force.
+    /// Checks credentials against these keys. Workspace keys come from the configuration.
     pub fn new(operator_key: &str, backend_key: &str) -> Self {
         Self {
             operator: blake3::hash(operator_key.as_bytes()),
@@ -64,31 +65,31 @@
         &self,
         conf: &config::Set,
         headers: &Headers<'_>,
-    ) -> Result<String, answer::Refusal> {
+    ) -> Result<String, answer::Error> {
         if conf.revision == 0 {
-            return Err(unknown());
+            return Err(no_configuration());
         }
-        let key = bearer(headers).ok_or_else(|| refused("a workspace key is needed"))?;
+        let key = bearer(headers).ok_or_else(|| unauthorized("a workspace key is needed"))?;
         let hash = config::key_hash(key);
         let index = self.index(conf);
-        let found = index.workspaces.get(&hash[..PREFIX]).and_then(|keys| {
+        let found = index.workspaces.get(&hash[..PREFIX_LEN]).and_then(|keys| {
             keys.iter()
                 .find(|(known, _)| bool::from(known.as_bytes().ct_eq(hash.as_bytes())))
         });
         match found {
             Some((_, workspace)) => Ok(workspace.clone()),
-            None => Err(refused("the workspace key is not known")),
+            None => Err(unauthorized("the workspace key is not known")),
         }
     }
 
-    /// Whether the request carries the operators' key.
-    pub fn operator(&self, headers: &Headers<'_>) -> Result<(), answer::Refusal> {
-        holds(headers, &self.operator, "the operators' key is needed")
+    /// Fails unless the request carries the operators' key.
+    pub fn operator(&self, headers: &Headers<'_>) -> Result<(), answer::Error> {
+        check_key(headers, &self.operator, "the operators' key is needed")
     }
 
-    /// Whether the request carries the backend server's key.
-    pub fn backend(&self, headers: &Headers<'_>) -> Result<(), answer::Refusal> {
-        holds(headers, &self.backend, "the backend server's key is needed")
+    /// Fails unless the request carries the backend server's key.
+    pub fn backend(&self, headers: &Headers<'_>) -> Result<(), answer::Error> {
+        check_key(headers, &self.backend, "the backend server's key is needed")
     }
 
     fn index(&self, conf: &config::Set) -> Arc<Index> {
@@ -99,7 +100,7 @@
         let mut workspaces: HashMap<String, Vec<(String, String)>> = HashMap::new();
         for (name, workspace) in &conf.workspace {
             let hash = workspace.key_hash.to_ascii_lowercase();
-            let Some(prefix) = hash.get(..PREFIX) else {
+            let Some(prefix) = hash.get(..PREFIX_LEN) else {
                 continue;
             };
             let keys = workspaces.entry(prefix.to_owned()).or_default();
@@ -114,13 +115,13 @@
     }
 }
 
-fn holds(headers: &Headers<'_>, key: &blake3::Hash, text: &str) -> Result<(), answer::Refusal> {
+fn check_key(headers: &Headers<'_>, key: &blake3::Hash, text: &str) -> Result<(), answer::Error> {
     let given = bearer(headers).unwrap_or_default();
     // `blake3::Hash` compares in constant time.
     if blake3::hash(given.as_bytes()) == *key {
         return Ok(());
     }
-    Err(refused(text))
+    Err(unauthorized(text))
 }
 
 fn bearer<'r>(headers: &Headers<'r>) -> Option<&'r str> {
@@ -129,14 +130,14 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
-/// Without a configuration no key can be known, right or wrong.
-fn unknown() -> answer::Refusal {
+/// The error before the first configuration, when no workspace key can be checked.
+fn no_configuration() -> answer::Error {
     let text = "this entry has no configuration yet";
     let cause = outcome::Cause::NoQuorum;
-    answer::Refusal::new(outcome::Failure::not_run(cause, Some(RETRY_MS), text))
+    answer::Error::new(outcome::Failure::not_run(cause, Some(RETRY_MS), text))
 }
 
-fn refused(text: &str) -> answer::Refusal {
+fn unauthorized(text: &str) -> answer::Error {
     let failure = outcome::Failure::not_run(outcome::Cause::Unauthorized, None, text);
-    answer::Refusal::new(failure)
+    answer::Error::new(failure)
 }
--- a/src/edge/http/completions.rs
+++ b/src/edge/http/completions.rs
@@ -26,22 +26,22 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// Longest time limit that a caller may ask for.
+/// Maximum time limit that a caller may set.
 pub const MAX_TIME_LIMIT: Duration = Duration::from_secs(3_600);
 
-/// How long a stream waits for its first part before it commits the status 200. Refusals come
-/// sooner, so that they have a status of their own.
+/// How long a stream waits for its first part before it sends the status 200. Rejections
+/// normally arrive sooner and so get their own status.
 const COMMIT_AFTER: Duration = Duration::from_millis(1_000);
 
-/// A silent stream writes an SSE comment this often: rocket sees only at a write that the
-/// caller has gone.
-const HEARTBEAT: Duration = Duration::from_millis(1_000);
+/// Interval of SSE comments on an idle stream. rocket notices only on a write that the caller has
+/// disconnected.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1_000);
 
 const TIME_LIMIT: &str = "X-Time-Limit-Ms";
 const NOT_REPEATABLE: &str = "X-Not-Repeatable";
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
-/// Longest idempotency key in bytes.
+/// Maximum length of an idempotency key in bytes.
 const MAX_KEY: usize = 256;
 
 /// The routes, below `/v1`.
@@ -49,18 +49,18 @@
     rocket::routes![text, chat, models]
 }
 
-/// What a caller says in headers about how its request is to be treated.
-pub struct Marks {
-    /// Its time limit, if it names one.
+/// A request's options, from its headers.
+pub struct Options {
+    /// The time limit, if set.
     pub limit: Option<Duration>,
-    /// A second run would do harm.
+    /// Whether the request must not run twice.
     pub not_repeatable: bool,
-    /// Its idempotency key.
+    /// The idempotency key, if set.
     pub key: Option<String>,
 }
 
-impl Marks {
-    /// Reads them.
+impl Options {
+    /// Parses the headers.
     pub fn read(headers: &auth::Headers<'_>) -> Result<Self, outcome::Failure> {
         let limit = match headers.0.get_one(TIME_LIMIT) {
             None => None,
@@ -99,26 +99,26 @@
     }
 }
 
-/// An answer to a prompt.
-pub enum Answer {
-    /// At once.
+/// A response to a prompt.
+pub enum Response {
+    /// The full response at once.
     Json(answer::Json),
-    /// As it comes.
+    /// A stream of events.
     Stream(Stream),
 }
 
-/// A streamed answer.
+/// A streamed response.
 pub struct Stream {
     request: id::Request,
-    answer: openai::Answer,
+    renderer: openai::Renderer,
     include_usage: bool,
     first: Option<entry::Part>,
     rx: mpsc::Receiver<entry::Part>,
-    /// The body's share of memory, until the answer has ended.
+    /// The body's share of the memory pool, held until the response has ended.
     permit: OwnedSemaphorePermit,
 }
 
-impl<'r> response::Responder<'r, 'r> for Answer {
+impl<'r> response::Responder<'r, 'r> for Response {
     fn respond_to(self, request: &'r Request<'_>) -> response::Result<'r> {
         match self {
             Self::Json(json) => json.respond_to(request),
@@ -137,30 +137,30 @@
 impl Stream {
     fn events(mut self) -> impl rocket::futures::Stream<Item = Bytes> + Send {
         stream! {
-            let mut fresh = true;
+            let mut is_first = true;
             loop {
                 let part = match self.first.take() {
                     Some(part) => Ok(Some(part)),
-                    None => time::timeout(HEARTBEAT, self.rx.recv()).await,
+                    None => time::timeout(HEARTBEAT_PERIOD, self.rx.recv()).await,
                 };
                 match part {
                     Err(_) => yield Bytes::from_static(b": wait\n\n"),
                     Ok(Some(entry::Part::Tokens(tokens))) => {
-                        yield self.answer.chunk(&tokens.concat(), fresh).into();
-                        fresh = false;
+                        yield self.renderer.chunk(&tokens.concat(), is_first).into();
+                        is_first = false;
                     }
                     Ok(Some(entry::Part::Done { end, usage })) => {
                         let usage = self.include_usage.then_some(usage);
-                        yield self.answer.end(end, usage).into();
+                        yield self.renderer.end(end, usage).into();
                         break;
                     }
                     Ok(Some(entry::Part::Failed(failure))) => {
-                        yield self.failed(failure);
+                        yield self.error_event(failure);
                         break;
                     }
                     Ok(Some(entry::Part::Head { .. } | entry::Part::Bytes(_))) => {}
                     Ok(None) => {
-                        yield self.failed(answer::cut());
+                        yield self.error_event(answer::incomplete());
                         break;
                     }
                 }
@@ -169,9 +169,9 @@
         }
     }
 
-    fn failed(&self, failure: outcome::Failure) -> Bytes {
-        let refusal = answer::Refusal::of(self.request, failure);
-        format!("data: {}\n\n", refusal.json()).into()
+    fn error_event(&self, failure: outcome::Failure) -> Bytes {
+        let error = answer::Error::of(self.request, failure);
+        format!("data: {}\n\n", error.json()).into()
     }
 }
 
@@ -180,7 +180,7 @@
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
     data: rocket::Data<'_>,
-) -> Result<Answer, answer::Refusal> {
+) -> Result<Response, answer::Error> {
     complete(front, openai::Form::Text, &headers, data).await
 }
 
@@ -189,7 +189,7 @@
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
     data: rocket::Data<'_>,
-) -> Result<Answer, answer::Refusal> {
+) -> Result<Response, answer::Error> {
     complete(front, openai::Form::Chat, &headers, data).await
 }
 
@@ -198,26 +198,26 @@
     form: openai::Form,
     headers: &auth::Headers<'_>,
     data: rocket::Data<'_>,
-) -> Result<Answer, answer::Refusal> {
+) -> Result<Response, answer::Error> {
     let conf = front.node.conf();
     let workspace = front.auth.workspace(&conf, headers)?;
     let request = id::Request(rand::random());
-    let refuse = |failure| answer::Refusal::of(request, failure);
-    let marks = Marks::read(headers).map_err(refuse)?;
+    let reject = |failure| answer::Error::of(request, failure);
+    let options = Options::read(headers).map_err(reject)?;
     let body = front.bodies.read(headers, data).await?;
     let prompt =
-        openai::parse(form, &body.bytes).map_err(|text| refuse(answer::bad_request(&text)))?;
+        openai::parse(form, &body.bytes).map_err(|text| reject(answer::bad_request(&text)))?;
     drop(body.bytes);
-    let model = model(&conf, &prompt.model).map_err(refuse)?;
-    let max_tokens = max_tokens(model, prompt.max_tokens).map_err(refuse)?;
+    let model = model(&conf, &prompt.model).map_err(reject)?;
+    let max_tokens = max_tokens(model, prompt.max_tokens).map_err(reject)?;
     let default = Duration::from_millis(model.time_limit_ms);
     let submission = entry::Submission {
         request,
         workspace,
         service: model.service.clone(),
-        limit: marks.limit.unwrap_or(default),
-        repeatable: !marks.not_repeatable,
-        key: marks.key,
+        limit: options.limit.unwrap_or(default),
+        repeatable: !options.not_repeatable,
+        key: options.key,
         body: Bytes::from(prompt.text),
         work: run::Work::Prompt {
             model: prompt.model.clone(),
@@ -228,23 +228,25 @@
         },
     };
     let Some(role) = front.node.entry() else {
-        return Err(refuse(answer::cut()));
+        return Err(reject(answer::incomplete()));
     };
     let mut rx = role.submit(submission);
-    let answer = openai::Answer::new(form, request, unix_seconds(), &prompt.model);
+    let renderer = openai::Renderer::new(form, request, unix_seconds(), &prompt.model);
     if !prompt.stream {
-        return whole(request, &answer, rx).await.map(Answer::Json);
+        return respond_full(request, &renderer, rx)
+            .await
+            .map(Response::Json);
     }
     let first = time::timeout(COMMIT_AFTER, rx.recv()).await;
     let first = match first {
         Err(_) => None,
-        Ok(None) => return Err(refuse(answer::cut())),
-        Ok(Some(entry::Part::Failed(failure))) => return Err(refuse(failure)),
+        Ok(None) => return Err(reject(answer::incomplete())),
+        Ok(Some(entry::Part::Failed(failure))) => return Err(reject(failure)),
         Ok(Some(part)) => Some(part),
     };
-    Ok(Answer::Stream(Stream {
+    Ok(Response::Stream(Stream {
         request,
-        answer,
+        renderer,
         include_usage: prompt.include_usage,
         first,
         rx,
@@ -252,24 +254,24 @@
     }))
 }
 
-async fn whole(
+async fn respond_full(
     request: id::Request,
-    answer: &openai::Answer,
+    renderer: &openai::Renderer,
     mut rx: mpsc::Receiver<entry::Part>,
-) -> Result<answer::Json, answer::Refusal> {
+) -> Result<answer::Json, answer::Error> {
     let mut text = String::new();
     while let Some(part) = rx.recv().await {
         match part {
             entry::Part::Tokens(tokens) => text.extend(tokens),
             entry::Part::Done { end, usage } => {
-                let text = answer.whole(&text, end, usage);
+                let text = renderer.full(&text, end, usage);
                 return Ok(answer::Json { request, text });
             }
-            entry::Part::Failed(failure) => return Err(answer::Refusal::of(request, failure)),
+            entry::Part::Failed(failure) => return Err(answer::Error::of(request, failure)),
             entry::Part::Head { .. } | entry::Part::Bytes(_) => {}
         }
     }
-    Err(answer::Refusal::of(request, answer::cut()))
+    Err(answer::Error::of(request, answer::incomplete()))
 }
 
 fn model<'a>(conf: &'a config::Set, name: &str) -> Result<&'a config::Model, outcome::Failure> {
@@ -279,16 +281,15 @@
     })
 }
 
-fn max_tokens(model: &config::Model, asked: Option<u32>) -> Result<u32, outcome::Failure> {
+fn max_tokens(model: &config::Model, requested: Option<u32>) -> Result<u32, outcome::Failure> {
     let most = model.max_output_tokens;
-    match asked {
+    match requested {
         None => Ok(most),
-        Some(asked) if asked <= most => Ok(asked),
+        Some(requested) if requested <= most => Ok(requested),
         Some(_) => Err(answer::bad_request(&format!("max_tokens: at most {most}"))),
     }
 }
 
-/// Seconds since the Unix epoch.
 fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -314,7 +315,7 @@
 fn models(
     front: &rocket::State<Arc<Front>>,
     headers: auth::Headers<'_>,
-) -> Result<(ContentType, String), answer::Refusal> {
+) -> Result<(ContentType, String), answer::Error> {
     let conf = front.node.conf();
     front.auth.workspace(&conf, &headers)?;
     let data = conf
--- a/src/edge/http/openai.rs
+++ b/src/edge/http/openai.rs
@@ -1,4 +1,4 @@
-//! The forms of requests and answers that OpenAI clients send and expect.
+//! Request and response bodies in the formats of the OpenAI API.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 use crate::wire::id;
 use crate::wire::run;
 
-/// Which of the two forms a request has.
+/// Which of the two APIs a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// `/v1/completions`.
@@ -17,18 +17,18 @@
     Chat,
 }
 
-/// What both forms come to.
+/// A parsed request of either API.
 #[derive(Clone, Debug)]
 pub struct Prompt {
     /// Name of the model.
     pub model: String,
     /// The prompt's text.
     pub text: String,
-    /// Most tokens to generate, if the caller says.
+    /// Maximum number of tokens to generate, if set.
     pub max_tokens: Option<u32>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Whether the stream ends with usage.
+    /// Whether the stream ends with an event that reports usage.
     pub include_usage: bool,
 }
 
@@ -48,7 +48,7 @@
     options: Options,
 }
 
-/// Members of both forms. Others, such as `temperature`, are let pass.
+/// Fields of both APIs. Other fields, such as `temperature`, are ignored.
 #[derive(Deserialize)]
 struct Options {
     #[serde(default)]
@@ -58,13 +58,13 @@
     #[serde(default)]
     stream: Option<bool>,
     #[serde(default, rename = "stream_options")]
-    ending: Option<Ending>,
+    ending: Option<StreamOptions>,
     #[serde(default)]
     n: Option<u32>,
 }
 
 #[derive(Deserialize)]
-struct Ending {
+struct StreamOptions {
     #[serde(default)]
     include_usage: bool,
 }
@@ -86,25 +86,25 @@
 #[serde(untagged)]
 enum Content {
     Text(String),
-    Parts(Vec<Piece>),
+    Parts(Vec<ContentPart>),
 }
 
 #[derive(Deserialize)]
-struct Piece {
+struct ContentPart {
     #[serde(rename = "type")]
     kind: String,
     #[serde(default)]
     text: String,
 }
 
-/// Reads a request body. The error says what is wrong with it.
+/// Parses a request body. The error is a message for the caller.
 pub fn parse(form: Form, body: &[u8]) -> Result<Prompt, String> {
     let (model, text, options) = match form {
         Form::Text => {
             let body: TextBody = serde_json::from_slice(body).map_err(|err| err.to_string())?;
             let text = match body.prompt {
                 Texts::One(text) => text,
-                Texts::Many(texts) => one(texts)?,
+                Texts::Many(texts) => single(texts)?,
             };
             (body.model, text, body.options)
         }
@@ -128,18 +128,18 @@
         text,
         max_tokens,
         stream: options.stream.unwrap_or(false),
-        include_usage: options.ending.is_some_and(|o| o.include_usage),
+        include_usage: options.ending.is_some_and(|options| options.include_usage),
     })
 }
 
-fn one(mut texts: Vec<String>) -> Result<String, String> {
+fn single(mut texts: Vec<String>) -> Result<String, String> {
     match texts.pop() {
         Some(text) if texts.is_empty() => Ok(text),
         _ => Err("prompt: exactly one".to_owned()),
     }
 }
 
-/// Renders messages into the one text that engines take: a line a message.
+/// Renders messages as the single text that engines take, one `role: content` line for each.
 fn render(messages: &[Message]) -> Result<String, String> {
     let mut out = String::new();
     for message in messages {
@@ -160,9 +160,9 @@
     Ok(out)
 }
 
-/// Renders the parts of one answer.
+/// Renders the response to one request.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Renderer {
     form: Form,
     id: String,
     created: u64,
@@ -220,8 +220,8 @@
     cached_tokens: u64,
 }
 
-impl Answer {
-    /// The answer to `request`. `created`: seconds since the Unix epoch.
+impl Renderer {
+    /// A renderer of the response to `request`. `created` is in seconds since the Unix epoch.
     pub fn new(form: Form, request: id::Request, created: u64, model: &str) -> Self {
         let prefix = match form {
             Form::Text => "cmpl",
@@ -235,8 +235,8 @@
         }
     }
 
-    /// The whole answer as one JSON text.
-    pub fn whole(&self, text: &str, end: run::End, usage: run::Usage) -> String {
+    /// The full response as JSON.
+    pub fn full(&self, text: &str, end: run::End, usage: run::Usage) -> String {
         let usage = Some(to_usage(usage));
         let finish = Some(reason(end));
         match self.form {
@@ -252,13 +252,13 @@
         }
     }
 
-    /// An SSE event with part of the text. `first`: no event was sent before.
-    pub fn chunk(&self, text: &str, first: bool) -> String {
+    /// An SSE event with part of the text. `is_first` for the first event of the response.
+    pub fn chunk(&self, text: &str, is_first: bool) -> String {
         match self.form {
             Form::Text => event(&self.text_body(text, None, None)),
             Form::Chat => {
                 let delta = ChatText {
-                    role: first.then_some("assistant"),
+                    role: is_first.then_some("assistant"),
                     content: Some(text),
                 };
                 let choice = chat_choice(None, Some(delta), None);
@@ -267,7 +267,7 @@
         }
     }
 
-    /// The SSE events that end a whole answer.
+    /// The SSE events that end a complete response.
     pub fn end(&self, end: run::End, usage: Option<run::Usage>) -> String {
         let finish = Some(reason(end));
         let mut out = match self.form {
--- a/src/edge/http/services.rs
+++ b/src/edge/http/services.rs
@@ -1,4 +1,4 @@
-//! `/services/{service}/...`: calls of plain services.
+//! `/services/{service}/...`: calls to plain services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,16 +24,16 @@
 use crate::wire::outcome;
 use crate::wire::run;
 
-/// Largest answer without an announced length, which is held whole before it is passed on:
-/// a chunked answer that is cut off would look whole to its caller.
+/// Maximum bytes of a response without a Content-Length. Such a response is buffered before it is
+/// forwarded, because a caller could take a truncated chunked response for a complete one.
 const MAX_HELD: usize = 16 << 20;
 
-/// Time limit of a call that no route speaks of.
+/// Time limit of a call that matches no configured route.
 const TIME_LIMIT: Duration = Duration::from_secs(30);
 
 const PREFIX: &str = "/services/";
 
-/// Headers of callers that are meant for this system and are not passed on.
+/// Headers of callers that are addressed to the entry and not forwarded.
 const OWN_HEADERS: &[&str] = &["authorization", "x-not-repeatable", "x-time-limit-ms"];
 
 /// The routes, below `/services`.
@@ -67,14 +67,14 @@
             return route::Outcome::Error(Status::InternalServerError);
         };
         match call(front, request, data).await {
-            Ok(answer) => route::Outcome::from(request, answer),
-            Err(refusal) => route::Outcome::from(request, refusal),
+            Ok(response) => route::Outcome::from(request, response),
+            Err(error) => route::Outcome::from(request, error),
         }
     }
 }
 
-/// A plain service's answer.
-struct Answer {
+/// A plain service's response.
+struct Response {
     request: id::Request,
     status: u16,
     headers: Vec<(String, String)>,
@@ -82,25 +82,25 @@
 }
 
 enum Body {
-    Held(Vec<u8>),
-    Parts(answer::Parts),
+    Buffered(Vec<u8>),
+    Streamed(answer::Reader),
 }
 
-impl<'r> Responder<'r, 'r> for Answer {
+impl<'r> Responder<'r, 'r> for Response {
     fn respond_to(self, _: &'r Request<'_>) -> response::Result<'r> {
-        let mut answer = response::Response::build();
-        answer.status(Status::new(self.status));
+        let mut builder = response::Response::build();
+        builder.status(Status::new(self.status));
         for (name, value) in self.headers {
             if !header::stays_of_answer(&name) {
-                answer.header_adjoin(Header::new(name, value));
+                builder.header_adjoin(Header::new(name, value));
             }
         }
-        answer.header(Header::new(answer::REQUEST_ID, self.request.to_string()));
+        builder.header(Header::new(answer::REQUEST_ID, self.request.to_string()));
         match self.body {
-            Body::Held(bytes) => answer.sized_body(bytes.len(), std::io::Cursor::new(bytes)),
-            Body::Parts(parts) => answer.streamed_body(parts),
+            Body::Buffered(bytes) => builder.sized_body(bytes.len(), std::io::Cursor::new(bytes)),
+            Body::Streamed(parts) => builder.streamed_body(parts),
         };
-        answer.ok()
+        builder.ok()
     }
 }
 
@@ -108,17 +108,17 @@
     front: &Front,
     request: &Request<'_>,
     data: rocket::Data<'_>,
-) -> Result<Answer, answer::Refusal> {
+) -> Result<Response, answer::Error> {
     let conf = front.node.conf();
     let headers = auth::Headers(request.headers());
     let workspace = front.auth.workspace(&conf, &headers)?;
     let id = id::Request(rand::random());
-    let refuse = |failure| answer::Refusal::of(id, failure);
-    let marks = completions::Marks::read(&headers).map_err(refuse)?;
-    let (service, path) = split(request);
-    plain(&conf, service).map_err(refuse)?;
+    let reject = |failure| answer::Error::of(id, failure);
+    let options = completions::Options::read(&headers).map_err(reject)?;
+    let (service, path) = split_path(request);
+    check_plain(&conf, service).map_err(reject)?;
     let method = request.method();
-    let route = route_of(&conf, service, &path, method);
+    let route = find_route(&conf, service, &path, method);
     let body = front.bodies.read(&headers, data).await?;
     let default = route.map_or(TIME_LIMIT, |r| Duration::from_millis(r.time_limit_ms));
     let repeatable = route.map_or_else(|| is_safe(method), |route| route.repeatable);
@@ -126,25 +126,25 @@
         request: id,
         workspace,
         service: service.to_owned(),
-        limit: marks.limit.unwrap_or(default),
-        repeatable: repeatable && !marks.not_repeatable,
-        key: marks.key,
+        limit: options.limit.unwrap_or(default),
+        repeatable: repeatable && !options.not_repeatable,
+        key: options.key,
         body: Bytes::from(body.bytes),
         work: run::Work::Http {
             method: method.as_str().to_owned(),
             path,
-            headers: passed(&headers),
+            headers: forwarded_headers(&headers),
         },
     };
     let Some(role) = front.node.entry() else {
-        return Err(refuse(answer::cut()));
+        return Err(reject(answer::incomplete()));
     };
     let rx = role.submit(submission);
-    answer(id, rx).await.map_err(refuse)
+    respond(id, rx).await.map_err(reject)
 }
 
-/// The service's name, and the path and query below it.
-fn split<'r>(request: &'r Request<'_>) -> (&'r str, String) {
+/// The service's name, and the rest of the path with the query.
+fn split_path<'r>(request: &'r Request<'_>) -> (&'r str, String) {
     let uri = request.uri();
     let path = uri.path().as_str();
     let below = path.strip_prefix(PREFIX).unwrap_or_default();
@@ -157,7 +157,7 @@
     (service, target)
 }
 
-fn plain(conf: &config::Set, name: &str) -> Result<(), outcome::Failure> {
+fn check_plain(conf: &config::Set, name: &str) -> Result<(), outcome::Failure> {
     let service = conf.service.get(name);
     if service.is_some_and(|service| service.kind == config::Kind::Plain) {
         return Ok(());
@@ -170,8 +170,9 @@
     ))
 }
 
-/// The route with the longest prefix; of equal ones that which names the method.
-fn route_of<'a>(
+/// The route with the longest matching prefix. Of equal prefixes, a route for this method wins over
+/// one for any method.
+fn find_route<'a>(
     conf: &'a config::Set,
     service: &str,
     path: &str,
@@ -191,7 +192,7 @@
     matches!(method, Method::Get | Method::Head | Method::Options)
 }
 
-fn passed(headers: &auth::Headers<'_>) -> Vec<(String, String)> {
+fn forwarded_headers(headers: &auth::Headers<'_>) -> Vec<(String, String)> {
     headers
         .0
         .iter()
@@ -204,25 +205,25 @@
         .collect()
 }
 
-async fn answer(
+async fn respond(
     request: id::Request,
     mut rx: mpsc::Receiver<entry::Part>,
-) -> Result<Answer, outcome::Failure> {
+) -> Result<Response, outcome::Failure> {
     let (status, headers) = loop {
         match rx.recv().await {
             Some(entry::Part::Head { status, headers }) => break (status, headers),
             Some(entry::Part::Failed(failure)) => return Err(failure),
-            Some(entry::Part::Done { .. }) | None => return Err(answer::cut()),
+            Some(entry::Part::Done { .. }) | None => return Err(answer::incomplete()),
             Some(entry::Part::Tokens(_) | entry::Part::Bytes(_)) => {}
         }
     };
-    let sized = headers.iter().any(|(name, _)| name == header::LENGTH);
-    let body = if sized {
-        Body::Parts(answer::Parts::new(rx, Bytes::new()))
+    let has_length = headers.iter().any(|(name, _)| name == header::LENGTH);
+    let body = if has_length {
+        Body::Streamed(answer::Reader::new(rx, Bytes::new()))
     } else {
-        Body::Held(held(rx).await?)
+        Body::Buffered(buffer_body(rx).await?)
     };
-    Ok(Answer {
+    Ok(Response {
         request,
         status,
         headers,
@@ -230,7 +231,7 @@
     })
 }
 
-async fn held(mut rx: mpsc::Receiver<entry::Part>) -> Result<Vec<u8>, outcome::Failure> {
+async fn buffer_body(mut rx: mpsc::Receiver<entry::Part>) -> Result<Vec<u8>, outcome::Failure> {
     let mut out = Vec::new();
     while let Some(part) = rx.recv().await {
         match part {
@@ -247,5 +248,5 @@
             ));
         }
     }
-    Err(answer::cut())
+    Err(answer::incomplete())
 }
