--- a/tests/request_matrix.rs
+++ b/tests/request_matrix.rs
@@ -1,4 +1,6 @@
-//! Every fault at every step of a request's way, over the decisions of entry and sidecar.
+//! Injects every fault at every step of a request, over the state machines of entry and sidecar.
+//! Checks that no fault causes a second run, a false "not run", a lost or wrong response, or a
+//! leaked resource.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,13 +24,14 @@
 
 use fault::Fault;
 
-/// Of all pairs of faults, one in so many is run in every check; `MATRIX_PAIRS=1` runs all.
-const PAIRS: usize = 61;
+/// One in this many pairs of faults is run. The environment variable `MATRIX_PAIRS` overrides it,
+/// and `MATRIX_PAIRS=1` runs all pairs.
+const PAIR_SAMPLING: usize = 61;
 
 const THREADS: usize = 6;
 
-/// Longest time from the word that a backend server leaves until it gets no new work.
-const LEAVING: Duration = Duration::from_secs(3);
+/// How long a backend server may still get new work after it was told to leave.
+const MAX_LEAVE_DELAY: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
 #[allow(clippy::struct_excessive_bools)]
@@ -37,9 +40,9 @@
     plain: bool,
     repeatable: bool,
     key: bool,
-    /// When the caller sends it again through the other entry: at once beside the first, or
-    /// after the first has its answer.
-    beside: bool,
+    /// Whether the caller's second request, through the other entry, is sent along with the first.
+    /// Otherwise it is sent after the first has its response.
+    concurrent: bool,
     poison: bool,
 }
 
@@ -52,14 +55,14 @@
     },
     Scenario {
         key: true,
-        beside: true,
+        concurrent: true,
         ..scenario("prompt once, key, sent twice", false, false)
     },
     scenario("call", true, true),
     scenario("call once", true, false),
     Scenario {
         key: true,
-        beside: true,
+        concurrent: true,
         ..scenario("call once, key, sent twice", true, false)
     },
     Scenario {
@@ -74,7 +77,7 @@
         plain,
         repeatable,
         key: false,
-        beside: false,
+        concurrent: false,
         poison: false,
     }
 }
@@ -93,19 +96,19 @@
     }
 }
 
-fn cell(scenario: &Scenario, faults: &[(usize, Fault)]) -> world::World {
+fn run_cell(scenario: &Scenario, faults: &[(usize, Fault)]) -> world::World {
     let mut callers = vec![(profile(scenario, 1, 1), scenario.poison)];
-    let again = scenario.key || scenario.poison;
-    if again {
+    let has_resend = scenario.key || scenario.poison;
+    if has_resend {
         callers.push((profile(scenario, 2, 1), scenario.poison));
     }
     if scenario.poison {
         callers.push((profile(scenario, 3, 2), false));
     }
     let mut world = world::World::new(scenario.plain, callers, faults.to_vec());
-    world.resend = again.then_some(1);
+    world.resend = has_resend.then_some(1);
     world.submit(Duration::from_millis(150), 0);
-    if scenario.beside {
+    if scenario.concurrent {
         world.submit(Duration::from_millis(200), 1);
     }
     if scenario.poison {
@@ -115,10 +118,10 @@
     world
 }
 
-/// What a cell breaks.
+/// The invariants that a cell violates.
 fn findings(scenario: &Scenario, faults: &[(usize, Fault)], world: &world::World) -> Vec<String> {
     let mut out = Vec::new();
-    let struck = |fault: Fault| faults.iter().any(|(_, other)| *other == fault);
+    let has_fault = |fault: Fault| faults.iter().any(|(_, other)| *other == fault);
     let runs = |request: id::Request| {
         world
             .starts
@@ -127,7 +130,7 @@
             .count()
     };
     for (at, caller) in world.callers.iter().enumerate() {
-        let is_entry_lost = struck(Fault::KillEntry);
+        let is_entry_lost = has_fault(Fault::KillEntry);
         if caller.finals.len() > 1
             || (caller.submitted && caller.finals.is_empty() && !is_entry_lost)
         {
@@ -139,16 +142,16 @@
         let Some((at_time, last)) = caller.finals.first() else {
             continue;
         };
-        // A frozen entry answers when it thaws.
+        // A suspended entry answers after it is resumed.
         if *at_time > caller.profile.deadline + Duration::from_millis(1)
-            && !struck(Fault::FreezeEntry)
+            && !has_fault(Fault::FreezeEntry)
         {
             out.push(format!(
                 "caller {at}: answered {at_time:?}, after its time limit"
             ));
         }
         match last {
-            Ok(whole) if !whole => out.push(format!("caller {at}: a wrong or short answer")),
+            Ok(complete) if !complete => out.push(format!("caller {at}: a wrong or short answer")),
             Err(failure) if failure.ran == Ran::NotRun && runs(caller.profile.request) > 0 => {
                 out.push(format!("caller {at}: {failure:?}, but it ran"));
             }
@@ -170,7 +173,7 @@
             world.starts.len()
         ));
     }
-    for attempt in &world.denied {
+    for attempt in &world.not_run {
         if world.starts.iter().any(|start| start.0 == *attempt) {
             out.push(format!("attempt {attempt} was denied, but ran"));
         }
@@ -180,7 +183,7 @@
         out.push("an attempt ran twice".to_owned());
     }
     for (at, sidecar) in world.sidecars.iter().enumerate() {
-        // Nobody is left to tell the engine; its own time limit frees it.
+        // If nothing is left to cancel a run, its own time limit frees the engine.
         let used = world.backends[at].used();
         if used > 0 {
             out.push(format!("server {at}: engine holds {used} tokens"));
@@ -192,27 +195,30 @@
         {
             out.push(format!("server {at}: sidecar holds {load:?}"));
         }
-        let late = world.passed.iter().any(|(server, when)| {
-            *server == at && sidecar.left.is_some_and(|left| *when > left + LEAVING)
+        let late = world.forwarded.iter().any(|(server, when)| {
+            *server == at
+                && sidecar
+                    .leaving_since
+                    .is_some_and(|leaving_since| *when > leaving_since + MAX_LEAVE_DELAY)
         });
         if late {
             out.push(format!("server {at}: new work while leaving"));
         }
     }
-    let lost = world.poisoned;
-    if faults.len() < 2 && lost > allowed(faults) {
+    let lost = world.poison_deaths;
+    if faults.len() < 2 && lost > max_poison_deaths(faults) {
         out.push(format!("{lost} servers lost to a poisonous request"));
     }
-    out.extend(alive(scenario, faults, world));
-    out.extend(cleared(scenario, faults, world));
-    out.extend(resumed(scenario, faults, world));
+    out.extend(not_completed(scenario, faults, world));
+    out.extend(not_cleared(scenario, faults, world));
+    out.extend(not_resumed(scenario, faults, world));
     out
 }
 
-/// Servers that a poisonous request may take: two, and one more for each fault that hides a
-/// crash from the quorum or makes its caller send it again while it still runs; without a quorum
-/// two for each time that its caller sends it.
-fn allowed(faults: &[(usize, Fault)]) -> usize {
+/// How many servers a poisonous request may kill: two, and one more for each fault that hides a
+/// crash from the quorum or makes the caller send the request again while it still runs. Without a
+/// quorum, two for each time that the caller sends it.
+fn max_poison_deaths(faults: &[(usize, Fault)]) -> usize {
     if faults.iter().any(|(_, fault)| *fault == Fault::NoQuorum) {
         return 4;
     }
@@ -228,42 +234,55 @@
                 | Fault::KillBackend
                 | Fault::LoseBackend
                 | Fault::KillEntry
-                | Fault::CallerGone
+                | Fault::CallerDisconnects
         )
     };
     2 + faults.iter().filter(|(_, fault)| hides(fault)).count()
 }
 
-/// An innocent that ran to its end is no suspect any more.
-fn cleared(scenario: &Scenario, faults: &[(usize, Fault)], world: &world::World) -> Option<String> {
+/// A harmless request that completed must not remain a suspect.
+fn not_cleared(
+    scenario: &Scenario,
+    faults: &[(usize, Fault)],
+    world: &world::World,
+) -> Option<String> {
     let innocent = world.callers.get(2).filter(|_| scenario.poison)?;
-    let whole = matches!(innocent.finals.first(), Some((_, Ok(true))));
-    let is_suspect = world.control.servers(innocent.profile.fingerprint) > 0;
-    (whole && is_suspect && faults.is_empty()).then(|| "the innocent is still a suspect".to_owned())
+    let is_complete = matches!(innocent.finals.first(), Some((_, Ok(true))));
+    let is_suspect = world.control.death_count(innocent.profile.fingerprint) > 0;
+    (is_complete && is_suspect && faults.is_empty())
+        .then(|| "the innocent is still a suspect".to_owned())
 }
 
-/// A prompt whose sidecar restarts while its engine runs it goes on from where it was.
-fn resumed(scenario: &Scenario, faults: &[(usize, Fault)], world: &world::World) -> Option<String> {
+/// A prompt whose sidecar restarts while the engine runs it must be resumed.
+fn not_resumed(
+    scenario: &Scenario,
+    faults: &[(usize, Fault)],
+    world: &world::World,
+) -> Option<String> {
     let [(_, Fault::KillSidecar)] = faults else {
         return None;
     };
     let runs = world.starts.len();
-    let whole = matches!(world.callers[0].finals.first(), Some((_, Ok(true))));
+    let is_complete = matches!(world.callers[0].finals.first(), Some((_, Ok(true))));
     let applies = !scenario.plain && !scenario.repeatable && !scenario.key && runs > 0;
-    (applies && !whole).then(|| "not resumed after its sidecar's restart".to_owned())
+    (applies && !is_complete).then(|| "not resumed after its sidecar's restart".to_owned())
 }
 
-/// What one fault alone must not keep from being answered whole.
-fn alive(scenario: &Scenario, faults: &[(usize, Fault)], world: &world::World) -> Option<String> {
+/// Under no fault, or a single one that the scenario tolerates, the response must be complete.
+fn not_completed(
+    scenario: &Scenario,
+    faults: &[(usize, Fault)],
+    world: &world::World,
+) -> Option<String> {
     let at = if scenario.poison { 2 } else { 0 };
     let harmless = match faults {
         [] => true,
-        // Nobody can keep suspects apart without a quorum.
+        // Without a quorum, suspects cannot be kept apart.
         [(_, Fault::NoQuorum)] if scenario.poison => false,
-        // A second death under an innocent that is not the poisonous request's.
+        // A second death under the harmless request, which the poisonous one did not cause.
         [(_, Fault::KillBackend | Fault::LoseBackend | Fault::KillVm)] if scenario.poison => false,
         [(_, fault)] if scenario.repeatable => {
-            !matches!(fault, Fault::KillEntry | Fault::CallerGone)
+            !matches!(fault, Fault::KillEntry | Fault::CallerDisconnects)
         }
         [(_, fault)] => matches!(
             fault,
@@ -278,7 +297,7 @@
         ),
         _ => false,
     };
-    // A call that has begun to answer cannot go on elsewhere.
+    // A call whose response has started cannot be retried elsewhere.
     let bound = scenario.plain
         && faults.iter().any(|(_, fault)| {
             matches!(
@@ -294,10 +313,11 @@
             )
         });
     let last = world.callers[at].finals.first();
-    let whole = matches!(last, Some((_, Ok(true))));
-    // Of two that are sent at once, either may be the one that runs.
-    let other = scenario.beside && matches!(world.callers[1].finals.first(), Some((_, Ok(true))));
-    (harmless && !bound && !whole && !other).then(|| format!("not answered whole: {last:?}"))
+    let is_complete = matches!(last, Some((_, Ok(true))));
+    // Of two concurrent requests with one key, either may be the one that runs.
+    let other =
+        scenario.concurrent && matches!(world.callers[1].finals.first(), Some((_, Ok(true))));
+    (harmless && !bound && !is_complete && !other).then(|| format!("not answered whole: {last:?}"))
 }
 
 fn outcome(world: &world::World) -> String {
@@ -313,26 +333,26 @@
     out.join(" | ")
 }
 
-/// What the cells of one step of one scenario brought.
+/// The results of the cells of one scenario.
 #[derive(Default)]
 struct Report {
     cells: usize,
     outcomes: BTreeMap<String, usize>,
-    /// Cells by how many backend servers the poisonous request took.
-    lost: BTreeMap<usize, usize>,
-    broken: Vec<String>,
+    /// Number of cells by how many backend servers the poisonous request killed.
+    deaths: BTreeMap<usize, usize>,
+    violations: Vec<String>,
 }
 
 impl Report {
-    /// Runs a cell; its steps.
+    /// Runs a cell and returns its number of steps.
     fn check(&mut self, scenario: &Scenario, faults: &[(usize, Fault)]) -> usize {
-        let world = cell(scenario, faults);
+        let world = run_cell(scenario, faults);
         self.cells += 1;
         *self.outcomes.entry(outcome(&world)).or_default() += 1;
-        *self.lost.entry(world.poisoned).or_default() += 1;
+        *self.deaths.entry(world.poison_deaths).or_default() += 1;
         for finding in findings(scenario, faults, &world) {
             let text = format!("{} {faults:?}: {finding}", scenario.name);
-            self.broken.push(text);
+            self.violations.push(text);
         }
         world.steps
     }
@@ -342,23 +362,23 @@
         for (outcome, count) in other.outcomes {
             *self.outcomes.entry(outcome).or_default() += count;
         }
-        for (lost, count) in other.lost {
-            *self.lost.entry(lost).or_default() += count;
+        for (deaths, count) in other.deaths {
+            *self.deaths.entry(deaths).or_default() += count;
         }
-        self.broken.extend(other.broken);
+        self.violations.extend(other.violations);
     }
 }
 
-/// All faults at one step, and of the pairs that begin with them one in `pairs`.
+/// Runs all faults at one step, and one in `pairs` of the pairs that start with them.
 fn row(scenario: &Scenario, step: usize, pairs: usize) -> Report {
     let mut report = Report::default();
-    let mut turn = step;
+    let mut pair = step;
     for fault in Fault::ALL {
         let after = report.check(scenario, &[(step, fault)]);
         for second in step..after {
             for other in Fault::ALL {
-                turn += 1;
-                if turn.is_multiple_of(pairs) {
+                pair += 1;
+                if pair.is_multiple_of(pairs) {
                     report.check(scenario, &[(step, fault), (second, other)]);
                 }
             }
@@ -370,8 +390,10 @@
 #[test]
 fn fault_matrix() {
     let pairs = std::env::var("MATRIX_PAIRS").ok();
-    let pairs = pairs.and_then(|pairs| pairs.parse().ok()).unwrap_or(PAIRS);
-    let steps: Vec<usize> = SCENARIOS.iter().map(|s| cell(s, &[]).steps).collect();
+    let pairs = pairs
+        .and_then(|pairs| pairs.parse().ok())
+        .unwrap_or(PAIR_SAMPLING);
+    let steps: Vec<usize> = SCENARIOS.iter().map(|s| run_cell(s, &[]).steps).collect();
     let rows: Vec<(usize, usize)> = steps
         .iter()
         .enumerate()
@@ -394,7 +416,7 @@
             }
         }
     });
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for ((scenario, steps), mut report) in SCENARIOS.iter().zip(steps).zip(reports) {
         report.check(scenario, &[]);
         println!(
@@ -402,17 +424,21 @@
             scenario.name,
             Fault::ALL.len(),
             report.cells,
-            report.broken.len()
+            report.violations.len()
         );
         for (outcome, count) in report.outcomes {
             println!("  {count:>6} {outcome}");
         }
         if scenario.poison {
-            println!("  servers lost: cells {:?}", report.lost);
+            println!("  servers lost: cells {:?}", report.deaths);
         }
-        broken.extend(report.broken);
+        violations.extend(report.violations);
     }
-    broken.sort();
-    let few: Vec<&String> = broken.iter().take(20).collect();
-    assert!(broken.is_empty(), "{} findings: {few:#?}", broken.len());
+    violations.sort();
+    let first: Vec<&String> = violations.iter().take(20).collect();
+    assert!(
+        violations.is_empty(),
+        "{} findings: {first:#?}",
+        violations.len()
+    );
 }
--- a/tests/request_matrix/backend.rs
+++ b/tests/request_matrix/backend.rs
@@ -1,4 +1,4 @@
-//! A tiny backend server: a model engine or a plain service, as docs/ENGINE.md has them.
+//! A minimal backend server: a model engine or a plain service, as docs/ENGINE.md describes them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,25 +7,25 @@
 use wigeonbarrow::sidecar::ledger;
 use wigeonbarrow::wire::id;
 
-/// Tokens, or parts of bytes, of a whole answer.
+/// Number of tokens, or of bytes, in a complete response.
 pub const LENGTH: u64 = 5;
-pub const PREFILL: Duration = Duration::from_millis(200);
-pub const TOKEN: Duration = Duration::from_millis(20);
-/// How long a finished run is kept.
-const KEPT: Duration = Duration::from_secs(5);
+pub const PREFILL_TIME: Duration = Duration::from_millis(200);
+pub const TOKEN_TIME: Duration = Duration::from_millis(20);
+/// How long a finished run stays listed.
+const RETENTION: Duration = Duration::from_secs(5);
 
 pub fn token(number: u64) -> String {
     format!("t{number} ")
 }
 
-/// A run. Its tokens come at fixed times after its start.
+/// A run. Its tokens are produced at fixed times after its start.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub start: Duration,
     pub first: u64,
     pub memory: u64,
     deadline: Duration,
-    /// The connection that its stream goes to, and the next token for it.
+    /// The connection that reads its stream, and the offset of the next token for it.
     pub conn: Option<(u64, u64)>,
     pub cancelled: bool,
     done: Option<Duration>,
@@ -33,16 +33,16 @@
 }
 
 impl Run {
-    fn came(&self, now: Duration) -> u64 {
-        let since = now.saturating_sub(self.start + PREFILL);
-        let count = since.as_millis() / TOKEN.as_millis();
+    fn produced(&self, now: Duration) -> u64 {
+        let since = now.saturating_sub(self.start + PREFILL_TIME);
+        let count = since.as_millis() / TOKEN_TIME.as_millis();
         (self.first + count as u64).min(LENGTH)
     }
 }
 
 #[derive(Clone, Debug)]
 pub struct Backend {
-    pub life: u64,
+    pub incarnation: u64,
     pub alive: bool,
     pub frozen: Duration,
     pub leaving: bool,
@@ -51,13 +51,13 @@
     seen: BTreeSet<String>,
 }
 
-/// What a call of it brings at once.
-pub enum Answer {
+/// The immediate response to a call.
+pub enum Response {
     Stream,
-    Refused(u16),
+    Rejected(u16),
 }
 
-/// What a stream brings.
+/// A line of a stream.
 #[derive(Clone, Debug)]
 pub enum Line {
     Head,
@@ -69,7 +69,7 @@
 impl Backend {
     pub fn new(plain: bool) -> Self {
         Self {
-            life: 1,
+            incarnation: 1,
             alive: true,
             frozen: Duration::ZERO,
             leaving: false,
@@ -92,7 +92,7 @@
 
     pub fn restart(&mut self) {
         self.alive = true;
-        self.life += 1;
+        self.incarnation += 1;
     }
 
     pub fn start(
@@ -103,9 +103,9 @@
         first: u64,
         limit: Duration,
         poison: bool,
-    ) -> Answer {
+    ) -> Response {
         if !self.plain && !self.seen.insert(id.to_owned()) {
-            return Answer::Refused(409);
+            return Response::Rejected(409);
         }
         let run = Run {
             start: now,
@@ -118,16 +118,16 @@
             poison,
         };
         self.runs.insert(id.to_owned(), run);
-        Answer::Stream
+        Response::Stream
     }
 
-    pub fn resume(&mut self, id: &str, conn: u64, offset: u64) -> Answer {
+    pub fn resume(&mut self, id: &str, conn: u64, offset: u64) -> Response {
         match self.runs.get_mut(id) {
             Some(run) if !self.plain => {
                 run.conn = Some((conn, offset));
-                Answer::Stream
+                Response::Stream
             }
-            _ => Answer::Refused(404),
+            _ => Response::Rejected(404),
         }
     }
 
@@ -147,33 +147,37 @@
             live: run.done.is_none(),
         });
         ledger::Event::List {
-            incarnation: id::Incarnation(self.life),
+            incarnation: id::Incarnation(self.incarnation),
             runs: runs.collect(),
             segments: Vec::new(),
         }
     }
 
-    /// Lets time pass: what each stream brings. `None`: a poisonous run killed it.
+    /// Advances to `now` and returns new lines by connection. `None` if a poisonous run killed the
+    /// server.
     pub fn advance(&mut self, now: Duration) -> Option<Vec<(u64, Line)>> {
         let mut out = Vec::new();
         for run in self.runs.values_mut() {
-            if run.poison && run.done.is_none() && now >= run.start + PREFILL / 2 {
+            if run.poison && run.done.is_none() && now >= run.start + PREFILL_TIME / 2 {
                 return None;
             }
-            let came = run.came(now);
-            if run.done.is_none() && (came == LENGTH || now >= run.deadline) {
+            let produced = run.produced(now);
+            if run.done.is_none() && (produced == LENGTH || now >= run.deadline) {
                 run.done = Some(now);
-                run.cancelled = came < LENGTH;
+                run.cancelled = produced < LENGTH;
             }
             let Some((conn, next)) = run.conn else {
                 continue;
             };
-            if self.plain && next == 0 && came > 0 {
+            if self.plain && next == 0 && produced > 0 {
                 out.push((conn, Line::Head));
             }
-            if came > next && !run.cancelled {
-                out.push((conn, Line::Tokens(next, (next..came).map(token).collect())));
-                run.conn = Some((conn, came));
+            if produced > next && !run.cancelled {
+                out.push((
+                    conn,
+                    Line::Tokens(next, (next..produced).map(token).collect()),
+                ));
+                run.conn = Some((conn, produced));
             }
             if run.done.is_some() {
                 let last = if run.cancelled {
@@ -186,7 +190,7 @@
             }
         }
         self.runs
-            .retain(|_, run| run.done.is_none_or(|done| now < done + KEPT));
+            .retain(|_, run| run.done.is_none_or(|done| now < done + RETENTION));
         Some(out)
     }
 }
--- a/tests/request_matrix/callers.rs
+++ b/tests/request_matrix/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests at their entries: what these ask of control and of sidecars.
+//! Entries: the requests of callers, and their calls to control and to sidecars.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use wigeonbarrow::wire::run;
 
 use super::super::control;
-use super::HOP;
+use super::HOP_DELAY;
 use super::LIMIT;
 use super::Msg;
 use super::SERVERS;
@@ -20,16 +20,16 @@
 use super::ms;
 
 impl World {
-    pub(super) fn submitted(&mut self, caller: usize) {
+    pub(super) fn handle_submit(&mut self, caller: usize) {
         let now = self.now;
-        let at = &mut self.callers[caller];
-        if std::mem::replace(&mut at.submitted, true) {
+        let state = &mut self.callers[caller];
+        if std::mem::replace(&mut state.submitted, true) {
             return;
         }
-        at.profile.deadline = now + LIMIT;
-        let (request, actions) = request::Request::new(now, at.profile.clone());
-        at.request = request;
-        self.carry(caller, actions);
+        state.profile.deadline = now + LIMIT;
+        let (request, actions) = request::Request::new(now, state.profile.clone());
+        state.request = request;
+        self.perform_all(caller, actions);
     }
 
     pub(super) fn event(&mut self, caller: usize, event: Event) {
@@ -37,40 +37,40 @@
             return;
         }
         let actions = self.callers[caller].request.step(self.now, event);
-        self.carry(caller, actions);
+        self.perform_all(caller, actions);
     }
 
-    pub(super) fn carry(&mut self, caller: usize, actions: Vec<Action>) {
+    pub(super) fn perform_all(&mut self, caller: usize, actions: Vec<Action>) {
         for action in actions {
-            self.do_one(caller, action);
+            self.perform(caller, action);
         }
         if self.callers[caller].request.is_over() {
-            return self.queue_end(caller);
+            return self.close_streams(caller);
         }
         let wake = self.callers[caller].request.wake();
         self.put(wake.saturating_sub(self.now).max(ms(1)), Msg::Wake(caller));
     }
 
-    pub(super) fn queue_end(&mut self, caller: usize) {
+    pub(super) fn close_streams(&mut self, caller: usize) {
         for number in 0..self.streams.len() {
             let stream = &mut self.streams[number];
             if stream.caller == caller && std::mem::take(&mut stream.at_entry) {
-                self.put(HOP, Msg::Closed(number as u64));
+                self.put(HOP_DELAY, Msg::Closed(number as u64));
             }
         }
     }
 
-    pub(super) fn do_one(&mut self, caller: usize, action: Action) {
+    pub(super) fn perform(&mut self, caller: usize, action: Action) {
         let request = self.callers[caller].profile.request;
         let key = self.callers[caller].profile.key.clone().unwrap_or_default();
         match action {
             Action::Claim => self.put(
-                HOP,
+                HOP_DELAY,
                 Msg::ToControl(Some(caller), 0, control::Control::claim(request, &key)),
             ),
             Action::Settle(ran) => {
                 self.put(
-                    HOP,
+                    HOP_DELAY,
                     Msg::ToControl(
                         Some(caller),
                         0,
@@ -93,11 +93,11 @@
             Action::Start(attempt) => self.call(caller, attempt, run::Call::Start(attempt)),
             Action::Cancel(target, attempt) => {
                 let call = run::Call::Cancel(attempt);
-                let has = self
+                let has_stream = self
                     .streams
                     .iter()
                     .any(|stream| stream.attempt == attempt && stream.at_entry);
-                if has {
+                if has_stream {
                     self.call(caller, attempt, call);
                 } else {
                     self.open(caller, &target, attempt, call);
@@ -111,7 +111,7 @@
                 for number in 0..self.streams.len() {
                     let stream = &mut self.streams[number];
                     if stream.attempt == attempt && std::mem::take(&mut stream.at_entry) {
-                        self.put(HOP, Msg::Closed(number as u64));
+                        self.put(HOP_DELAY, Msg::Closed(number as u64));
                     }
                 }
                 let sidecar = target.sidecar;
@@ -130,17 +130,17 @@
             Action::Tokens(tokens) => self.callers[caller].tokens.extend(tokens),
             Action::Bytes(bytes) => self.callers[caller].bytes.extend_from_slice(&bytes),
             Action::Done { .. } => {
-                let whole = self.callers[caller].is_whole();
-                self.finish(caller, Ok(whole));
+                let is_complete = self.callers[caller].is_complete();
+                self.finish(caller, Ok(is_complete));
             }
             Action::Fail(failure) => self.finish(caller, Err(failure)),
         }
     }
 
     pub(super) fn finish(&mut self, caller: usize, last: Result<bool, outcome::Failure>) {
-        let again = caller == 0;
+        let is_first = caller == 0;
         self.callers[caller].finals.push((self.now, last));
-        if again {
+        if is_first {
             self.resend_after(ms(20));
         }
     }
@@ -152,11 +152,11 @@
         }
     }
 
-    /// The router places a request; a suspect waits while all places have another one.
+    /// Places a request as the router does. A suspect waits while every server runs another one.
     pub(super) fn place(&mut self, caller: usize, avoid: &[String]) {
         match self.choose(caller, avoid) {
             Some(event) => self.event(caller, event),
-            None => self.put(ms(100), Msg::Choose(caller, avoid.to_vec())),
+            None => self.put(ms(100), Msg::Place(caller, avoid.to_vec())),
         }
     }
 
@@ -167,40 +167,41 @@
                 outcome::Failure::not_run(Cause::Quarantined, Some(60_000), "quarantined");
             return Some(Event::Unplaced(failure));
         }
-        let present = (0..SERVERS).filter(|server| {
+        let live = (0..SERVERS).filter(|server| {
             let sidecar = &self.sidecars[*server];
             sidecar.lease > self.now && !sidecar.leaving
         });
-        let mut places: Vec<usize> = present.collect();
-        // Two suspects never share a backend server.
-        if self.control.suspects.contains_key(&fingerprint) && !places.is_empty() {
-            places.retain(|server| !self.has_suspect(*server, fingerprint));
-            if places.is_empty() {
+        let mut servers: Vec<usize> = live.collect();
+        // Two suspects must not share a backend server.
+        if self.control.suspects.contains_key(&fingerprint) && !servers.is_empty() {
+            servers.retain(|server| !self.has_suspect(*server, fingerprint));
+            if servers.is_empty() {
                 return None;
             }
         }
-        let died = self.control.suspects.get(&fingerprint);
-        let fresh = places.iter().find(|server| {
+        let dead_servers = self.control.suspects.get(&fingerprint);
+        let preferred = servers.iter().find(|server| {
             let name = server.to_string();
-            !avoid.contains(&name) && !died.is_some_and(|died| died.contains(&name))
+            !avoid.contains(&name)
+                && !dead_servers.is_some_and(|dead_servers| dead_servers.contains(&name))
         });
-        let Some(server) = fresh.or(places.first()) else {
+        let Some(server) = preferred.or(servers.first()) else {
             let failure = outcome::Failure::not_run(Cause::NoServer, Some(1_000), "none");
             return Some(Event::Unplaced(failure));
         };
         Some(Event::Chosen(request::Target {
             server: server.to_string(),
             link: "127.0.0.1:1".parse().expect("an address"),
-            sidecar: id::Incarnation(self.sidecars[*server].life),
+            sidecar: id::Incarnation(self.sidecars[*server].incarnation),
         }))
     }
 
-    pub(super) fn has_suspect(&self, server: usize, but: id::Fingerprint) -> bool {
+    pub(super) fn has_suspect(&self, server: usize, except: id::Fingerprint) -> bool {
         self.streams.iter().any(|stream| {
             let profile = &self.callers[stream.caller].profile;
             stream.at_entry
                 && stream.server == server
-                && profile.fingerprint != but
+                && profile.fingerprint != except
                 && self.control.suspects.contains_key(&profile.fingerprint)
         })
     }
@@ -259,7 +260,7 @@
             caller,
             server: target.server.parse().expect("a number"),
             attempt,
-            life: None,
+            incarnation: None,
             at_entry: true,
             at_sidecar: true,
         });
@@ -278,16 +279,16 @@
     pub(super) fn send(&mut self, number: u64, call: run::Call) {
         let stream = &self.streams[number as usize];
         let entry = &self.entries[self.callers[stream.caller].entry];
-        let (to, from) = entry.down.get(&stream.server).copied().unwrap_or_default();
-        if to > self.now {
-            // A link that cannot be opened fails after a while; an open one as it was noticed.
-            if stream.life.is_none() {
+        let (to_until, from_until) = entry.down.get(&stream.server).copied().unwrap_or_default();
+        if to_until > self.now {
+            // Opening the link fails after a timeout. An open link is failed by the fault itself.
+            if stream.incarnation.is_none() {
                 self.put(ms(1_000), Msg::Lost(number));
             }
             return;
         }
-        if from > self.now && stream.life.is_none() {
-            // The handshake's answer does not come back.
+        if from_until > self.now && stream.incarnation.is_none() {
+            // The reply to the handshake is lost.
             return self.put(ms(1_000), Msg::Lost(number));
         }
         let slow = if self.slow == Some(stream.server) {
@@ -295,7 +296,7 @@
         } else {
             Duration::ZERO
         };
-        self.put(HOP + slow, Msg::ToSidecar(number, call));
+        self.put(HOP_DELAY + slow, Msg::ToSidecar(number, call));
     }
 
     pub(super) fn entry_reply(&mut self, number: u64, reply: run::Reply) {
--- a/tests/request_matrix/control.rs
+++ b/tests/request_matrix/control.rs
@@ -1,4 +1,4 @@
-//! A tiny agreed state: claims and suspects.
+//! A minimal replicated state of control: claims and suspects.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Control {
     claims: BTreeMap<String, (id::Request, Option<(Ran, u16)>)>,
-    /// Settled before their claim came.
-    freed: BTreeSet<id::Request>,
+    /// Settled requests. A claim that arrives after its settlement is rejected.
+    settled: BTreeSet<id::Request>,
     pub suspects: BTreeMap<id::Fingerprint, BTreeSet<String>>,
     seen: BTreeSet<(String, id::Incarnation)>,
-    /// Whether it has a quorum.
+    /// Whether it has no quorum.
     pub down: bool,
 }
 
@@ -27,7 +27,7 @@
         }
         match command {
             Command::Claim { key, request, .. } => {
-                if self.freed.contains(&request) {
+                if self.settled.contains(&request) {
                     return Verdict::Unavailable;
                 }
                 let (holder, ended) = self.claims.entry(key).or_insert((request, None));
@@ -46,7 +46,7 @@
                 status,
                 ..
             } => {
-                self.freed.insert(request);
+                self.settled.insert(request);
                 if let Some((holder, ended)) = self.claims.get_mut(&key)
                     && *holder == request
                 {
@@ -79,10 +79,10 @@
     }
 
     pub fn is_quarantined(&self, fingerprint: id::Fingerprint) -> bool {
-        self.servers(fingerprint) >= 2
+        self.death_count(fingerprint) >= 2
     }
 
-    pub fn servers(&self, fingerprint: id::Fingerprint) -> usize {
+    pub fn death_count(&self, fingerprint: id::Fingerprint) -> usize {
         self.suspects.get(&fingerprint).map_or(0, BTreeSet::len)
     }
 
--- a/tests/request_matrix/fault.rs
+++ b/tests/request_matrix/fault.rs
@@ -1,48 +1,48 @@
-//! The faults.
+//! The faults that are injected.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// The message is lost; between sidecar and backend server its connection is cut.
+    /// The message is lost. Between sidecar and backend server, its connection is closed.
     Lose,
-    /// The message comes again, late.
+    /// The message is delivered again, later.
     Duplicate,
-    /// The message is late, after others.
+    /// The message is delayed and overtaken by others.
     Delay,
-    /// The link goes silent for a while.
+    /// The link drops all frames for a while.
     Cut,
-    /// The link goes silent for good.
+    /// The link drops all frames from now on.
     CutLong,
-    /// Calls are lost, replies come.
+    /// Calls are lost, replies are delivered.
     HalfOpenUp,
-    /// Replies are lost, calls come.
+    /// Replies are lost, calls are delivered.
     HalfOpenDown,
-    /// The sidecar is killed and comes back without memory; the backend server goes on.
+    /// The sidecar is killed and restarts without its state. The backend server keeps running.
     KillSidecar,
-    /// The sidecar is gone for good; the backend server goes on.
+    /// The sidecar is killed and does not restart. The backend server keeps running.
     LoseSidecar,
-    /// The backend server is killed and comes back without memory.
+    /// The backend server is killed and restarts without its state.
     KillBackend,
-    /// The backend server is gone for good.
+    /// The backend server is killed and does not restart.
     LoseBackend,
-    /// Both are killed and come back.
+    /// Both are killed and restart.
     KillVm,
-    /// The sidecar freezes and thaws with its memory.
+    /// The sidecar is suspended and resumed with its state.
     FreezeSidecar,
-    /// The backend server freezes and thaws with its memory.
+    /// The backend server is suspended and resumed with its state.
     FreezeBackend,
-    /// The same, for longer than any time limit.
+    /// The backend server is suspended for longer than any time limit.
     FreezeBackendLong,
-    /// The entry freezes and thaws with its memory.
+    /// The entry is suspended and resumed with its state.
     FreezeEntry,
-    /// The entry is gone with its memory.
+    /// The entry is killed and does not restart.
     KillEntry,
-    /// Messages to and from a sidecar are slow from here on.
+    /// Messages to and from a sidecar are slow from now on.
     SlowPeer,
     /// Control has no quorum for a while.
     NoQuorum,
-    /// The caller goes away.
-    CallerGone,
-    /// The backend server asks for a drain.
+    /// The caller disconnects.
+    CallerDisconnects,
+    /// The backend server announces that it is leaving.
     Leave,
     /// The sidecar drains.
     Drain,
@@ -69,7 +69,7 @@
         Self::KillEntry,
         Self::SlowPeer,
         Self::NoQuorum,
-        Self::CallerGone,
+        Self::CallerDisconnects,
         Self::Leave,
         Self::Drain,
     ];
--- a/tests/request_matrix/sidecars.rs
+++ b/tests/request_matrix/sidecars.rs
@@ -15,13 +15,13 @@
 use wigeonbarrow::wire::run;
 
 use super::super::backend;
-use super::BACK;
-use super::HOP;
+use super::HOP_DELAY;
 use super::Http;
 use super::LEASE;
 use super::LIMIT;
 use super::Msg;
 use super::Process;
+use super::RESTART_DELAY;
 use super::TTL;
 use super::World;
 use super::ms;
@@ -33,9 +33,9 @@
             return;
         }
         let Some(lines) = self.backends[server].advance(self.now) else {
-            self.poisoned += 1;
+            self.poison_deaths += 1;
             self.kill_backend(server);
-            return self.put(BACK, Msg::Back(Process::Backend(server)));
+            return self.put(RESTART_DELAY, Msg::Restart(Process::Backend(server)));
         };
         for (conn, line) in lines {
             let found = self.sidecars[server]
@@ -43,8 +43,8 @@
                 .iter()
                 .find(|(_, mine)| **mine == conn);
             if let Some((attempt, _)) = found {
-                let life = self.sidecars[server].life;
-                self.put(ms(1), Msg::Line(server, life, *attempt, conn, line));
+                let incarnation = self.sidecars[server].incarnation;
+                self.put(ms(1), Msg::Line(server, incarnation, *attempt, conn, line));
             }
         }
     }
@@ -55,7 +55,7 @@
             return;
         }
         let announced = ledger::Backend {
-            incarnation: id::Incarnation(backend.life),
+            incarnation: id::Incarnation(backend.incarnation),
             kind: if backend.plain {
                 member::Kind::Plain
             } else {
@@ -72,17 +72,20 @@
         self.tell(server, ledger::Event::Announced(announced));
     }
 
-    pub(super) fn backend_call(&mut self, server: usize, life: u64, http: Http) {
+    pub(super) fn backend_call(&mut self, server: usize, incarnation: u64, http: Http) {
         self.seq += 1;
         let conn = self.seq;
         if !self.backends[server].alive {
-            self.put(HOP, Msg::Told(server, life, ledger::Event::Unreachable));
+            self.put(
+                HOP_DELAY,
+                Msg::ToLedger(server, incarnation, ledger::Event::Unreachable),
+            );
             let event = match http {
                 Http::Post(attempt, _) => ledger::Event::Rejected(attempt, Cause::NoServer),
                 Http::Get(attempt, ..) => ledger::Event::Cut(attempt),
                 Http::Delete(_) | Http::List => return,
             };
-            return self.put(HOP, Msg::Told(server, life, event));
+            return self.put(HOP_DELAY, Msg::ToLedger(server, incarnation, event));
         }
         let now = self.now;
         let (attempt, answer) = match http {
@@ -103,7 +106,7 @@
                     limit,
                     poison,
                 );
-                if matches!(answer, backend::Answer::Stream) {
+                if matches!(answer, backend::Response::Stream) {
                     self.starts.push((attempt, server));
                 }
                 (attempt, answer)
@@ -114,24 +117,27 @@
             ),
             Http::Delete(run) => {
                 self.backends[server].cancel(now, &run);
-                return self.put(HOP, Msg::Told(server, life, ledger::Event::Stopped(run)));
+                return self.put(
+                    HOP_DELAY,
+                    Msg::ToLedger(server, incarnation, ledger::Event::Stopped(run)),
+                );
             }
             Http::List => {
                 let list = self.backends[server].list();
-                return self.put(HOP, Msg::Told(server, life, list));
+                return self.put(HOP_DELAY, Msg::ToLedger(server, incarnation, list));
             }
         };
-        if self.sidecars[server].life != life || !self.sidecars[server].alive {
+        if self.sidecars[server].incarnation != incarnation || !self.sidecars[server].alive {
             return;
         }
         match answer {
-            backend::Answer::Stream => {
+            backend::Response::Stream => {
                 self.sidecars[server].conns.insert(attempt, conn);
             }
-            backend::Answer::Refused(409) => {}
-            backend::Answer::Refused(_) => self.put(
-                HOP,
-                Msg::Told(server, life, ledger::Event::Vanished(attempt)),
+            backend::Response::Rejected(409) => {}
+            backend::Response::Rejected(_) => self.put(
+                HOP_DELAY,
+                Msg::ToLedger(server, incarnation, ledger::Event::Vanished(attempt)),
             ),
         }
     }
@@ -151,7 +157,7 @@
     }
 
     pub(super) fn act(&mut self, server: usize, action: ledger::Action) {
-        let life = self.sidecars[server].life;
+        let incarnation = self.sidecars[server].incarnation;
         let sidecar = &mut self.sidecars[server];
         match action {
             ledger::Action::Reply(stream, reply) => self.reply(stream, reply),
@@ -168,10 +174,10 @@
                 sidecar
                     .buffers
                     .insert(attempt, buffer::Buffer::new(attempt, first));
-                self.passed.push((server, self.now));
+                self.forwarded.push((server, self.now));
                 self.put(
                     ms(1),
-                    Msg::ToBackend(server, life, Http::Post(attempt, first)),
+                    Msg::ToBackend(server, incarnation, Http::Post(attempt, first)),
                 );
             }
             ledger::Action::Resume(attempt, offset) => {
@@ -182,12 +188,15 @@
                 let offset = buffer.length();
                 self.put(
                     ms(1),
-                    Msg::ToBackend(server, life, Http::Get(attempt, offset)),
+                    Msg::ToBackend(server, incarnation, Http::Get(attempt, offset)),
                 );
             }
             ledger::Action::Stop(run) => {
                 if !self.backends[server].plain {
-                    return self.put(ms(1), Msg::ToBackend(server, life, Http::Delete(run)));
+                    return self.put(
+                        ms(1),
+                        Msg::ToBackend(server, incarnation, Http::Delete(run)),
+                    );
                 }
                 let found = sidecar
                     .conns
@@ -208,7 +217,9 @@
                 sidecar.buffers.remove(&attempt);
                 sidecar.conns.remove(&attempt);
             }
-            ledger::Action::List => self.put(ms(1), Msg::ToBackend(server, life, Http::List)),
+            ledger::Action::List => {
+                self.put(ms(1), Msg::ToBackend(server, incarnation, Http::List));
+            }
             ledger::Action::Announce => self.present(server),
             ledger::Action::Crash { engine, running } => {
                 let command = Command::Crash {
@@ -216,12 +227,12 @@
                     engine,
                     running,
                 };
-                self.put(HOP, Msg::ToControl(None, server, command));
+                self.put(HOP_DELAY, Msg::ToControl(None, server, command));
             }
             ledger::Action::Finished(fingerprint) => {
                 if self.control.suspects.contains_key(&fingerprint) {
                     self.put(
-                        HOP,
+                        HOP_DELAY,
                         Msg::ToControl(None, server, Command::Clear(fingerprint)),
                     );
                 }
@@ -330,7 +341,7 @@
         | run::Reply::Failed { attempt, failure } = &reply
             && failure.ran == Ran::NotRun
         {
-            self.denied.insert(*attempt);
+            self.not_run.insert(*attempt);
         }
         let entry = &self.entries[self.callers[stream.caller].entry];
         let down = entry
@@ -343,7 +354,7 @@
             } else {
                 Duration::ZERO
             };
-            self.put(HOP + slow, Msg::ToEntry(number, reply));
+            self.put(HOP_DELAY + slow, Msg::ToEntry(number, reply));
         }
     }
 
@@ -365,9 +376,9 @@
         let stream = &mut self.streams[number as usize];
         let server = stream.server;
         let sidecar = &self.sidecars[server];
-        let reached = *stream.life.get_or_insert(sidecar.life);
-        if !sidecar.alive || reached != sidecar.life {
-            return self.put(HOP, Msg::Lost(number));
+        let reached = *stream.incarnation.get_or_insert(sidecar.incarnation);
+        if !sidecar.alive || reached != sidecar.incarnation {
+            return self.put(HOP_DELAY, Msg::Lost(number));
         }
         match call {
             run::Call::Offer(offer) => {
--- a/tests/request_matrix/world.rs
+++ b/tests/request_matrix/world.rs
@@ -1,4 +1,5 @@
-//! The processes around the decisions, and time: messages in a queue, faults at its steps.
+//! A simulation of the processes around the state machines: a queue of timed messages, with faults
+//! injected at its steps.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,10 +19,10 @@
 
 #[path = "callers.rs"]
 mod callers;
+#[path = "inject.rs"]
+mod inject;
 #[path = "sidecars.rs"]
 mod sidecars;
-#[path = "strikes.rs"]
-mod strikes;
 
 use super::backend;
 use super::control;
@@ -30,14 +31,19 @@
 pub const SERVERS: usize = 3;
 /// Time limit of each request.
 pub const LIMIT: Duration = Duration::from_secs(9);
-/// Until everything left behind must be gone.
-pub const QUIET: Duration = Duration::from_secs(60);
+/// Simulated time at which a cell stops. Nothing may be in progress by then.
+pub const MAX_TIME: Duration = Duration::from_secs(60);
 
-const HOP: Duration = Duration::from_millis(2);
-const DETECT: Duration = Duration::from_secs(2);
+/// One-way delay between two processes.
+const HOP_DELAY: Duration = Duration::from_millis(2);
+/// Time until the heartbeats of a link detect that its peer is silent.
+const DETECT_DELAY: Duration = Duration::from_secs(2);
+/// How long an announcement of a sidecar makes its backend server available at entries.
 const LEASE: Duration = Duration::from_secs(3);
+/// How long an announcement of a backend server is valid at its sidecar.
 const TTL: Duration = Duration::from_secs(3);
-const BACK: Duration = Duration::from_millis(500);
+/// Time until a killed process has restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -55,18 +61,19 @@
     Closed(u64),
     ToControl(Option<usize>, usize, Command),
     Verdict(usize, Verdict),
-    /// A call of the backend server by a life of its sidecar.
+    /// A call to the backend server by an incarnation of its sidecar.
     ToBackend(usize, u64, Http),
-    /// Its answer, on the connection of an attempt.
+    /// A line of its response, on the connection of an attempt.
     Line(usize, u64, id::Attempt, u64, backend::Line),
-    Told(usize, u64, ledger::Event),
+    /// An event for the ledger of an incarnation of a sidecar.
+    ToLedger(usize, u64, ledger::Event),
     Tick(usize),
     Step(usize),
     Announce(usize),
-    Back(Process),
-    Quorum,
-    /// The router looks again for a place.
-    Choose(usize, Vec<String>),
+    Restart(Process),
+    QuorumRestored,
+    /// The router retries the placement.
+    Place(usize, Vec<String>),
 }
 
 impl Msg {
@@ -77,7 +84,7 @@
                 | Self::Step(_)
                 | Self::Announce(_)
                 | Self::Wake(_)
-                | Self::Told(_, _, ledger::Event::List { .. })
+                | Self::ToLedger(_, _, ledger::Event::List { .. })
                 | Self::ToBackend(_, _, Http::List)
         )
     }
@@ -97,7 +104,7 @@
     Backend(usize),
 }
 
-/// What the caller asked and got.
+/// A caller, with its request and the response so far.
 pub struct Caller {
     pub request: request::Request,
     pub profile: request::Profile,
@@ -114,34 +121,34 @@
     caller: usize,
     server: usize,
     attempt: id::Attempt,
-    /// The life of the sidecar that it reached.
-    life: Option<u64>,
+    /// The incarnation of the sidecar that it reached.
+    incarnation: Option<u64>,
     at_entry: bool,
     at_sidecar: bool,
 }
 
 pub struct Sidecar {
     pub ledger: ledger::Ledger,
-    life: u64,
+    incarnation: u64,
     pub alive: bool,
     frozen: Duration,
     draining: bool,
-    /// Number of the first token of an offer, and its limit.
+    /// Offset of the first token of each offer, and its time limit.
     offers: BTreeMap<id::Attempt, (u64, Duration)>,
     buffers: BTreeMap<id::Attempt, buffer::Buffer>,
     conns: BTreeMap<id::Attempt, u64>,
     cursors: BTreeMap<u64, (id::Attempt, bool, u64)>,
-    /// What entries know: until when it is present, and whether it is leaving.
+    /// What entries know: the end of its lease, and whether it is leaving.
     lease: Duration,
     leaving: bool,
-    /// When it first was to get no new work.
-    pub left: Option<Duration>,
+    /// When it was first told to accept no new work.
+    pub leaving_since: Option<Duration>,
 }
 
 struct Entry {
     alive: bool,
     frozen: Duration,
-    /// Frames to and from a sidecar are dropped until then.
+    /// By sidecar: until when frames to it, and until when frames from it, are dropped.
     down: BTreeMap<usize, (Duration, Duration)>,
 }
 
@@ -150,7 +157,7 @@
     seq: u64,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
     messages: BTreeMap<u64, Msg>,
-    /// Messages on the way, but for those that come in any case.
+    /// Number of queued messages that are not periodic.
     pending: usize,
     pub callers: Vec<Caller>,
     streams: Vec<Stream>,
@@ -161,17 +168,17 @@
     faults: Vec<(usize, Fault)>,
     pub steps: usize,
     slow: Option<usize>,
-    /// Connections to backend servers whose lines are late until then.
-    held: BTreeMap<u64, Duration>,
+    /// Connections to backend servers whose lines are delayed, and until when.
+    delayed: BTreeMap<u64, Duration>,
     /// Every start on a backend server: attempt, server.
     pub starts: Vec<(id::Attempt, usize)>,
-    /// What sidecars passed to their backend servers: server, when.
-    pub passed: Vec<(usize, Duration)>,
-    /// Attempts of which a sidecar said that they were not run.
-    pub denied: BTreeSet<id::Attempt>,
-    /// Deaths of backend servers by a poisonous run.
-    pub poisoned: usize,
-    /// Whom a concurrent or later resend follows: `(at, caller)`.
+    /// Attempts that sidecars forwarded to their backend servers: server, time.
+    pub forwarded: Vec<(usize, Duration)>,
+    /// Attempts that a sidecar reported as not run.
+    pub not_run: BTreeSet<id::Attempt>,
+    /// Deaths of backend servers caused by a poisonous run.
+    pub poison_deaths: usize,
+    /// The caller that sends the request of caller 0 again.
     pub resend: Option<usize>,
 }
 
@@ -218,11 +225,11 @@
             faults,
             steps: 0,
             slow: None,
-            held: BTreeMap::new(),
+            delayed: BTreeMap::new(),
             starts: Vec::new(),
-            passed: Vec::new(),
-            denied: BTreeSet::new(),
-            poisoned: 0,
+            forwarded: Vec::new(),
+            not_run: BTreeSet::new(),
+            poison_deaths: 0,
             resend: None,
         };
         for server in 0..SERVERS {
@@ -246,7 +253,7 @@
 
     pub fn run(&mut self) {
         while let Some(Reverse((at, seq))) = self.queue.pop() {
-            if at > QUIET || self.is_quiet() {
+            if at > MAX_TIME || self.is_idle() {
                 return;
             }
             self.now = at;
@@ -257,13 +264,14 @@
         }
     }
 
-    /// Whether nothing is left to happen: only periods pass.
-    fn is_quiet(&self) -> bool {
-        let idle = self.callers.iter().all(|caller| {
-            let gone = caller.submitted && !self.entries[caller.entry].alive;
-            gone || !caller.finals.is_empty() || !caller.submitted
+    /// Whether nothing is in progress and only periodic messages are queued.
+    fn is_idle(&self) -> bool {
+        let callers_done = self.callers.iter().all(|caller| {
+            let entry_lost = caller.submitted && !self.entries[caller.entry].alive;
+            entry_lost || !caller.finals.is_empty() || !caller.submitted
         });
-        idle && self.pending == 0
+        callers_done
+            && self.pending == 0
             && self.callers[0].submitted
             && self.backends.iter().all(|backend| backend.used() == 0)
             && self
@@ -272,7 +280,7 @@
                 .all(|sidecar| sidecar.ledger.in_progress() == 0)
     }
 
-    /// The server and the entry that a message goes between, if a fault may strike at it.
+    /// The server and the entry that a message concerns, if faults can be injected at it.
     fn parties(&self, msg: &Msg) -> Option<(usize, usize)> {
         match msg {
             Msg::ToSidecar(stream, _) | Msg::ToEntry(stream, _) => {
@@ -292,27 +300,27 @@
         if let Some((server, entry)) = self.parties(&msg) {
             let step = self.steps;
             self.steps += 1;
-            let struck: Vec<Fault> = self
+            let due: Vec<Fault> = self
                 .faults
                 .iter()
                 .filter(|(at, _)| *at == step)
                 .map(|(_, fault)| *fault)
                 .collect();
-            for fault in struck {
-                if !self.strike(fault, &msg, server, entry) {
+            for fault in due {
+                if !self.inject(fault, &msg, server, entry) {
                     return;
                 }
             }
         }
-        self.pass(msg);
+        self.dispatch(msg);
     }
 
-    fn pass(&mut self, msg: Msg) {
-        if let Some(wait) = self.thaw(&msg) {
-            return self.put(wait, msg);
+    fn dispatch(&mut self, msg: Msg) {
+        if let Some(pause) = self.frozen_for(&msg) {
+            return self.put(pause, msg);
         }
         match msg {
-            Msg::Submit(caller) => self.submitted(caller),
+            Msg::Submit(caller) => self.handle_submit(caller),
             Msg::Wake(caller) => {
                 if self.now >= self.callers[caller].request.wake() {
                     self.event(caller, Event::Tick);
@@ -344,23 +352,26 @@
                 let is_crash = matches!(command, Command::Crash { .. });
                 let verdict = self.control.apply(command);
                 match caller {
-                    Some(caller) if is_claim => self.put(HOP, Msg::Verdict(caller, verdict)),
+                    Some(caller) if is_claim => self.put(HOP_DELAY, Msg::Verdict(caller, verdict)),
                     None if is_crash && !self.control.down => {
-                        let life = self.sidecars[server].life;
-                        self.put(HOP, Msg::Told(server, life, ledger::Event::Reported));
+                        let incarnation = self.sidecars[server].incarnation;
+                        self.put(
+                            HOP_DELAY,
+                            Msg::ToLedger(server, incarnation, ledger::Event::Reported),
+                        );
                     }
                     _ => {}
                 }
             }
             Msg::Verdict(caller, verdict) => self.event(caller, Event::ClaimResult(verdict)),
-            Msg::ToBackend(server, life, http) => self.backend_call(server, life, http),
-            Msg::Line(server, life, attempt, conn, part) => {
-                if self.sidecars[server].life == life {
-                    self.line(server, attempt, conn, part);
+            Msg::ToBackend(server, sidecar, http) => self.backend_call(server, sidecar, http),
+            Msg::Line(server, incarnation, attempt, conn, line) => {
+                if self.sidecars[server].incarnation == incarnation {
+                    self.line(server, attempt, conn, line);
                 }
             }
-            Msg::Told(server, life, event) => {
-                if self.sidecars[server].life == life {
+            Msg::ToLedger(server, incarnation, event) => {
+                if self.sidecars[server].incarnation == incarnation {
                     self.tell(server, event);
                 }
             }
@@ -377,18 +388,16 @@
                 self.announce(server);
                 self.put(TTL / 3, Msg::Announce(server));
             }
-            Msg::Back(process) => self.back(process),
-            Msg::Quorum => self.control.down = false,
-            Msg::Choose(caller, avoid) => self.place(caller, &avoid),
+            Msg::Restart(process) => self.restart(process),
+            Msg::QuorumRestored => self.control.down = false,
+            Msg::Place(caller, avoid) => self.place(caller, &avoid),
         }
     }
-
-    // The backend server.
 }
 
 impl Caller {
-    /// Whether the answer that came is the whole one.
-    fn is_whole(&self) -> bool {
+    /// Whether the response is complete and correct.
+    fn is_complete(&self) -> bool {
         if self.profile.plain {
             return self.head && self.bytes == vec![b'x'; backend::LENGTH as usize];
         }
@@ -397,10 +406,10 @@
     }
 }
 
-fn sidecar(life: u64) -> Sidecar {
+fn sidecar(incarnation: u64) -> Sidecar {
     Sidecar {
-        ledger: ledger::Ledger::new(id::Incarnation(life), 1 << 12),
-        life,
+        ledger: ledger::Ledger::new(id::Incarnation(incarnation), 1 << 12),
+        incarnation,
         alive: true,
         frozen: Duration::ZERO,
         draining: false,
@@ -410,6 +419,6 @@
         cursors: BTreeMap::new(),
         lease: Duration::ZERO,
         leaving: false,
-        left: None,
+        leaving_since: None,
     }
 }
