--- a/src/edge/sidecar/core.rs
+++ b/src/edge/sidecar/core.rs
@@ -23,9 +23,9 @@
 use super::plain;
 use super::stream;
 use crate::log_event;
+use crate::sidecar::capacity;
 use crate::sidecar::ledger;
-use crate::sidecar::room;
-use crate::sidecar::tomb;
+use crate::sidecar::tombstone;
 use crate::wire::agree;
 use crate::wire::id;
 use crate::wire::member;
@@ -50,7 +50,7 @@
     /// A stream was opened; this is its way back.
     Open(ledger::Stream, mpsc::Sender<stream::Out>),
     /// The body of an offer is whole.
-    Filled(id::Attempt, Bytes),
+    BodyReceived(id::Attempt, Bytes),
     /// The backend server announced itself.
     Announced(Box<Announcement>),
 }
@@ -93,7 +93,7 @@
             handle: handle.clone(),
             runtime: runtime::Handle::current(),
             rx,
-            ledger: ledger::Ledger::new(node.incarnation(), tomb::CAPACITY),
+            ledger: ledger::Ledger::new(node.incarnation(), tombstone::CAPACITY),
             count: count::Count::new(node.metrics()),
             client: engine::client(),
             key: key.to_owned(),
@@ -210,10 +210,10 @@
             Message::Open(number, out) => {
                 self.streams.insert(number, out);
             }
-            Message::Filled(attempt, body) => {
+            Message::BodyReceived(attempt, body) => {
                 if let Some(job) = self.jobs.get_mut(&attempt) {
                     job.body = body;
-                    self.step(ledger::Event::Filled(attempt));
+                    self.step(ledger::Event::BodyReceived(attempt));
                 }
             }
             Message::Announced(announcement) => self.announced(*announcement),
@@ -226,7 +226,7 @@
                 self.count.offers.inc();
                 let attempt = offer.attempt;
                 self.step(ledger::Event::Offer(number, offer));
-                if !self.ledger.holds(attempt) {
+                if !self.ledger.contains(attempt) {
                     self.jobs.remove(&attempt);
                 }
             }
@@ -255,7 +255,7 @@
             incarnation: announcement.incarnation,
             kind: announcement.kind,
             models: announcement.models.clone(),
-            room: room::Room {
+            capacity: capacity::Capacity {
                 slots: announcement.slots,
                 memory: announcement.memory_tokens,
             },
@@ -286,21 +286,21 @@
             ledger::Action::Hold(attempt, context) => self.hold(attempt, context),
             ledger::Action::Release(attempt) => self.release(attempt),
             ledger::Action::End(reply) => self.end(reply),
-            ledger::Action::Forget(attempt) => {
+            ledger::Action::Discard(attempt) => {
                 if let Some(job) = self.jobs.remove(&attempt)
                     && let Some(task) = job.task
                 {
                     task.abort();
                 }
             }
-            ledger::Action::Free(handle) => self.free(handle),
+            ledger::Action::FreeSegment(handle) => self.free(handle),
             ledger::Action::List => self.list(),
             ledger::Action::Announce => {
                 self.publish();
                 self.handle.announce.notify_one();
             }
             ledger::Action::Crash { engine, running } => self.crash(engine, running),
-            ledger::Action::Finished(fingerprint) => self.finished(fingerprint),
+            ledger::Action::ClearSuspect(fingerprint) => self.finished(fingerprint),
         }
     }
 
@@ -422,7 +422,7 @@
         if let Some(job) = self.jobs.get(&attempt)
             && let Some(flow) = &job.flow
         {
-            flow.end(reply);
+            flow.finish(reply);
         }
     }
 
@@ -470,7 +470,8 @@
         self.runtime.spawn(async move {
             let verdict = node.propose(command, PROPOSE_TIMEOUT).await;
             if verdict != agree::Verdict::Unavailable {
-                core.tell(Message::Event(ledger::Event::Reported)).await;
+                core.tell(Message::Event(ledger::Event::CrashReported))
+                    .await;
             }
         });
     }
--- a/src/edge/sidecar/engine.rs
+++ b/src/edge/sidecar/engine.rs
@@ -203,7 +203,7 @@
                 ledger::Event::Rejected(attempt, Cause::NoServer)
             }
             // It may have arrived.
-            Err(_) => ledger::Event::Cut(attempt),
+            Err(_) => ledger::Event::Disconnected(attempt),
         }
     }
 
@@ -250,14 +250,14 @@
             Ok(response) if response.status().is_success() => {
                 read(core, attempt, response, flow).await
             }
-            Ok(response) if response.status().as_u16() == 404 => ledger::Event::Vanished(attempt),
-            Ok(_) => ledger::Event::Cut(attempt),
+            Ok(response) if response.status().as_u16() == 404 => ledger::Event::NotFound(attempt),
+            Ok(_) => ledger::Event::Disconnected(attempt),
             Err(err) => {
                 if err.is_connect() {
                     core.tell(core::Message::Event(ledger::Event::Unreachable))
                         .await;
                 }
-                ledger::Event::Cut(attempt)
+                ledger::Event::Disconnected(attempt)
             }
         }
     }
@@ -352,7 +352,7 @@
     let mut begun = false;
     loop {
         let Ok(Some(chunk)) = response.chunk().await else {
-            return ledger::Event::Cut(attempt);
+            return ledger::Event::Disconnected(attempt);
         };
         buf.extend_from_slice(&chunk);
         let mut first = 0;
@@ -371,7 +371,7 @@
                     } else if first + tokens.len() as u64 == offset {
                         tokens.extend(more);
                     } else {
-                        return ledger::Event::Cut(attempt);
+                        return ledger::Event::Disconnected(attempt);
                     }
                 }
                 Line::Done {
@@ -383,11 +383,11 @@
         if !tokens.is_empty() {
             if !begun {
                 begun = true;
-                core.tell(core::Message::Event(ledger::Event::Begun(attempt)))
+                core.tell(core::Message::Event(ledger::Event::FirstOutput(attempt)))
                     .await;
             }
-            if !flow.tokens(first, tokens) {
-                return ledger::Event::Cut(attempt);
+            if !flow.push_tokens(first, tokens) {
+                return ledger::Event::Disconnected(attempt);
             }
         }
         if let Some(ended) = ended {
--- a/src/edge/sidecar/flow.rs
+++ b/src/edge/sidecar/flow.rs
@@ -16,18 +16,18 @@
 pub struct Flow {
     buffer: Mutex<buffer::Buffer>,
     /// Tells readers that there is more.
-    news: watch::Sender<()>,
+    updates: watch::Sender<()>,
     /// Offset up to which it was sent on some stream.
     sent: AtomicU64,
     /// Tells the writer that more was sent.
-    room: watch::Sender<()>,
+    drained: watch::Sender<()>,
 }
 
 /// A stream's place in an answer.
 pub struct Cursor<'a> {
     flow: &'a Flow,
-    news: watch::Receiver<()>,
-    headed: bool,
+    updates: watch::Receiver<()>,
+    head_sent: bool,
     offset: u64,
 }
 
@@ -46,9 +46,9 @@
     pub fn new(attempt: id::Attempt, first: u64) -> Self {
         Self {
             buffer: Mutex::new(buffer::Buffer::new(attempt, first)),
-            news: watch::Sender::new(()),
+            updates: watch::Sender::new(()),
             sent: AtomicU64::new(first),
-            room: watch::Sender::new(()),
+            drained: watch::Sender::new(()),
         }
     }
 
@@ -62,56 +62,56 @@
     }
 
     /// Takes tokens; `false`: some before them are missing.
-    pub fn tokens(&self, offset: u64, tokens: Vec<String>) -> bool {
-        let placed = self.lock().tokens(offset, tokens);
-        self.news.send_replace(());
+    pub fn push_tokens(&self, offset: u64, tokens: Vec<String>) -> bool {
+        let placed = self.lock().push_tokens(offset, tokens);
+        self.updates.send_replace(());
         placed
     }
 
     /// Takes the head of a plain service's answer.
-    pub fn head(&self, status: u16, headers: Vec<(String, String)>) {
-        self.lock().head(status, headers);
-        self.news.send_replace(());
+    pub fn set_head(&self, status: u16, headers: Vec<(String, String)>) {
+        self.lock().set_head(status, headers);
+        self.updates.send_replace(());
     }
 
     /// Takes the word that the segment is held.
-    pub fn held(&self, segment: run::Context, tokens: u64) {
-        self.lock().held(segment, tokens);
-        self.news.send_replace(());
+    pub fn set_held(&self, segment: run::Context, tokens: u64) {
+        self.lock().set_held(segment, tokens);
+        self.updates.send_replace(());
     }
 
-    /// Takes the next bytes, when there is room for them.
-    pub async fn bytes(&self, bytes: &bytes::Bytes) {
-        let mut room = self.room.subscribe();
-        while !self.lock().has_room(self.sent.load(Ordering::Acquire)) {
-            if room.changed().await.is_err() {
+    /// Takes the next bytes, when there is drained for them.
+    pub async fn push_bytes(&self, bytes: &bytes::Bytes) {
+        let mut drained = self.drained.subscribe();
+        while !self.lock().has_capacity(self.sent.load(Ordering::Acquire)) {
+            if drained.changed().await.is_err() {
                 return;
             }
         }
-        self.lock().bytes(bytes);
-        self.news.send_replace(());
+        self.lock().push_bytes(bytes);
+        self.updates.send_replace(());
     }
 
     /// Says the final word.
-    pub fn end(&self, reply: run::Reply) {
-        self.lock().end(reply);
-        self.news.send_replace(());
+    pub fn finish(&self, reply: run::Reply) {
+        self.lock().finish(reply);
+        self.updates.send_replace(());
     }
 
     /// A place in the answer.
     pub fn cursor(&self, offset: u64) -> Cursor<'_> {
         Cursor {
             flow: self,
-            news: self.news.subscribe(),
-            headed: false,
+            updates: self.updates.subscribe(),
+            head_sent: false,
             offset,
         }
     }
 
-    fn sent(&self, offset: u64) {
+    fn mark_sent(&self, offset: u64) {
         if self.sent.fetch_max(offset, Ordering::AcqRel) < offset {
-            self.lock().sent(offset);
-            self.room.send_replace(());
+            self.lock().mark_sent(offset);
+            self.drained.send_replace(());
         }
     }
 }
@@ -120,11 +120,11 @@
     /// What comes next; waits for it. Cancel safe.
     pub async fn next(&mut self) -> Next {
         loop {
-            self.news.borrow_and_update();
-            let next = self.flow.lock().next(self.headed, self.offset);
+            self.updates.borrow_and_update();
+            let next = self.flow.lock().next(self.head_sent, self.offset);
             match next {
                 buffer::Next::Send(reply, offset) => {
-                    self.headed |=
+                    self.head_sent |=
                         matches!(reply, run::Reply::Head { .. } | run::Reply::Held { .. });
                     self.offset = offset;
                     return Next::Send(reply);
@@ -132,7 +132,7 @@
                 buffer::Next::End(reply) => return Next::End(reply),
                 buffer::Next::Gone => return Next::Gone,
                 buffer::Next::Wait => {
-                    if self.news.changed().await.is_err() {
+                    if self.updates.changed().await.is_err() {
                         return Next::Gone;
                     }
                 }
@@ -141,7 +141,7 @@
     }
 
     /// What was given out last was sent.
-    pub fn sent(&self) {
-        self.flow.sent(self.offset);
+    pub fn mark_sent(&self) {
+        self.flow.mark_sent(self.offset);
     }
 }
--- a/src/edge/sidecar/plain.rs
+++ b/src/edge/sidecar/plain.rs
@@ -53,21 +53,21 @@
             return ledger::Event::Rejected(attempt, Cause::NoServer);
         }
         // It may have arrived.
-        Err(_) => return ledger::Event::Cut(attempt),
+        Err(_) => return ledger::Event::Disconnected(attempt),
     };
-    core.tell(core::Message::Event(ledger::Event::Begun(attempt)))
+    core.tell(core::Message::Event(ledger::Event::FirstOutput(attempt)))
         .await;
     let passed = response.headers().iter().filter_map(|(name, value)| {
         let name = name.as_str();
         let value = value.to_str().ok()?;
         (!header::stays_of_answer(name)).then(|| (name.to_owned(), value.to_owned()))
     });
-    flow.head(response.status().as_u16(), passed.collect());
+    flow.set_head(response.status().as_u16(), passed.collect());
     loop {
         match response.chunk().await {
-            Ok(Some(chunk)) => flow.bytes(&chunk).await,
+            Ok(Some(chunk)) => flow.push_bytes(&chunk).await,
             Ok(None) => break,
-            Err(_) => return ledger::Event::Cut(attempt),
+            Err(_) => return ledger::Event::Disconnected(attempt),
         }
     }
     ledger::Event::Ended(run::Reply::Done {
--- a/src/edge/sidecar/segment.rs
+++ b/src/edge/sidecar/segment.rs
@@ -62,7 +62,7 @@
                     .await;
                 return ledger::Event::Rejected(attempt, Cause::NoServer);
             }
-            Err(_) => return ledger::Event::Cut(attempt),
+            Err(_) => return ledger::Event::Disconnected(attempt),
         };
         match response.status().as_u16() {
             200 => match response.json::<Held>().await {
@@ -71,10 +71,10 @@
                         url: self.url.clone(),
                         handle: held.handle,
                     };
-                    flow.held(segment, held.tokens);
+                    flow.set_held(segment, held.tokens);
                     ledger::Event::Held(attempt)
                 }
-                Err(_) => ledger::Event::Cut(attempt),
+                Err(_) => ledger::Event::Disconnected(attempt),
             },
             400 => ledger::Event::Rejected(attempt, Cause::BadRequest),
             401 | 403 => ledger::Event::Rejected(attempt, Cause::Internal),
--- a/src/edge/sidecar/stream.rs
+++ b/src/edge/sidecar/stream.rs
@@ -89,7 +89,7 @@
                     body = Some((attempt, len, buf));
                     continue;
                 }
-                core.tell(core::Message::Filled(attempt, buf.freeze()))
+                core.tell(core::Message::BodyReceived(attempt, buf.freeze()))
                     .await;
             }
             call => {
@@ -137,7 +137,7 @@
         match cursor.next().await {
             flow::Next::Send(reply) => {
                 send(tx, &reply).await?;
-                cursor.sent();
+                cursor.mark_sent();
             }
             flow::Next::End(reply) => return send(tx, &reply).await,
             flow::Next::Gone => return send(tx, &gone(attempt)).await,
@@ -161,7 +161,7 @@
 }
 
 fn busy() -> outcome::Failure {
-    let retry = ledger::ROOM_RETRY.as_millis() as u64;
+    let retry = ledger::CAPACITY_RETRY_AFTER.as_millis() as u64;
     outcome::Failure::not_run(Cause::Busy, Some(retry), "the sidecar's queue is full")
 }
 
--- a/src/entry/gang/plan.rs
+++ b/src/entry/gang/plan.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 
 use crate::entry::request;
-use crate::sidecar::room;
+use crate::sidecar::capacity;
 
 /// Most engines that serve one prompt.
 pub const MAX_MEMBERS: usize = 16;
@@ -63,7 +63,7 @@
 
 /// Tokens that the answering member keeps for the final run.
 pub fn final_run_tokens(max_tokens: u32) -> u64 {
-    room::segment(MAX_TAIL_TOKENS, u64::from(max_tokens))
+    capacity::segment_cost(MAX_TAIL_TOKENS, u64::from(max_tokens))
 }
 
 /// Chooses the fewest members for a prompt of `tokens`. If that is a guess and the candidates
@@ -77,7 +77,7 @@
             .then(a.target.server.cmp(&b.target.server))
     });
     let kept = final_run_tokens(max_tokens);
-    let need = room::segment(tokens, kept);
+    let need = capacity::segment_cost(tokens, kept);
     let largest = most(candidates, |c| c.memory);
     let need_now = if is_guess {
         need.min(largest / GUESS_PARTS * (GUESS_PARTS - 1))
@@ -132,7 +132,7 @@
     let rooms: Vec<u64> = members
         .iter()
         .enumerate()
-        .map(|(at, c)| room::segment_within(c.free, if at == last { kept } else { 0 }))
+        .map(|(at, c)| capacity::max_segment(c.free, if at == last { kept } else { 0 }))
         .collect();
     let sum: u64 = rooms.iter().sum();
     let is_short = sum + members.len() as u64 <= tokens;
--- a/src/entry/router/gang.rs
+++ b/src/entry/router/gang.rs
@@ -8,7 +8,7 @@
 use crate::entry::gang::plan;
 use crate::entry::job;
 use crate::entry::queue;
-use crate::sidecar::room;
+use crate::sidecar::capacity;
 use crate::wire::id;
 use crate::wire::outcome;
 
@@ -94,7 +94,7 @@
                 return None;
             }
             let load = &server.announced.load;
-            let memory = room::long_memory(load.memory_tokens);
+            let memory = capacity::long_memory(load.memory_tokens);
             let is_kept = self.gangs.iter().any(|(request, other)| {
                 let age = (other.since, *request);
                 age < (since, job.request) && other.held.contains(&index)
--- a/src/sidecar/ledger.rs
+++ b/src/sidecar/ledger.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::room;
-use super::tomb;
+use super::capacity;
+use super::tombstone;
 use crate::wire::id;
 use crate::wire::member;
 use crate::wire::outcome;
@@ -56,10 +56,10 @@
 pub const FROZEN_WAIT: Duration = Duration::from_secs(2);
 
 /// How long the failures of a crash wait until the quorum knows of it.
-pub const REPORT_WAIT: Duration = Duration::from_millis(500);
+pub const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// When to come back after a refusal for want of room.
-pub const ROOM_RETRY: Duration = Duration::from_millis(500);
+pub const CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Number of an entry's stream, drawn by the driver.
 pub type Stream = u64;
@@ -74,7 +74,7 @@
     /// Models loaded.
     pub models: Vec<String>,
     /// What it can hold.
-    pub room: room::Room,
+    pub capacity: capacity::Capacity,
     /// How long the announcement is valid.
     pub ttl: Duration,
     /// Asks for a drain.
@@ -115,13 +115,13 @@
     /// An offer came; its body follows.
     Offer(Stream, Box<run::Offer>),
     /// The body of an offer is whole.
-    Filled(id::Attempt),
+    BodyReceived(id::Attempt),
     /// A call other than an offer and its body came.
     Call(Stream, run::Call),
     /// An entry's stream ended or failed.
     Closed(Stream),
     /// The first token or the head of an answer came.
-    Begun(id::Attempt),
+    FirstOutput(id::Attempt),
     /// The engine holds the segment.
     Held(id::Attempt),
     /// The backend server refused the run, or could not be reached with it: it was not run.
@@ -129,9 +129,9 @@
     /// The backend server ended the run with `Done` or `Failed`.
     Ended(run::Reply),
     /// The stream from the backend server was cut; the run may go on.
-    Cut(id::Attempt),
+    Disconnected(id::Attempt),
     /// The backend server does not know the run.
-    Vanished(id::Attempt),
+    NotFound(id::Attempt),
     /// The backend server holds no such run any more.
     Stopped(String),
     /// The backend server refused a connection.
@@ -146,7 +146,7 @@
         segments: Vec<Segment>,
     },
     /// The quorum knows of the last crash.
-    Reported,
+    CrashReported,
     /// This process drains.
     Drain,
 }
@@ -173,9 +173,9 @@
     /// Say the final word on an attempt to all streams attached to it.
     End(run::Reply),
     /// Drop the answer of an attempt.
-    Forget(id::Attempt),
+    Discard(id::Attempt),
     /// Free a KV segment.
-    Free(String),
+    FreeSegment(String),
     /// Read the engine's list.
     List,
     /// Announce to all entries at once.
@@ -188,7 +188,7 @@
         running: Vec<id::Fingerprint>,
     },
     /// A repeatable request ran to its end here: clear it if it is a suspect.
-    Finished(id::Fingerprint),
+    ClearSuspect(id::Fingerprint),
 }
 
 /// How far an attempt is.
@@ -264,7 +264,7 @@
     records: BTreeMap<id::Attempt, Record>,
     /// Attempts whose answer is kept for queries, until when. Invariant: each has a tombstone.
     kept: BTreeMap<id::Attempt, Duration>,
-    tombs: tomb::Tombs,
+    tombstones: tombstone::Tombstones,
     /// Runs and segments that nobody here owns, since when, and their memory.
     orphans: BTreeMap<String, (Duration, u64)>,
     /// Runs that nobody here owns and that ended, as last listed. Their answers are still there.
@@ -285,7 +285,7 @@
 
 impl Ledger {
     /// The ledger of this life of the sidecar, with nothing in it.
-    pub fn new(life: id::Incarnation, tombs: usize) -> Self {
+    pub fn new(life: id::Incarnation, max_tombstones: usize) -> Self {
         Self {
             life,
             backend: None,
@@ -295,7 +295,7 @@
             left: None,
             records: BTreeMap::new(),
             kept: BTreeMap::new(),
-            tombs: tomb::Tombs::new(tombs),
+            tombstones: tombstone::Tombstones::new(max_tombstones),
             orphans: BTreeMap::new(),
             ended: BTreeSet::new(),
             asked: Vec::new(),
@@ -310,16 +310,16 @@
     /// Takes an event.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.tombs.tick(now);
+        self.tombstones.tick(now);
         match event {
             Event::Tick => self.tick(now, &mut out),
             Event::Announced(backend) => self.announced(now, backend, &mut out),
             Event::Measured(prefill, token) => self.speed = (prefill, token),
             Event::Offer(stream, offer) => self.offer(now, stream, &offer, &mut out),
-            Event::Filled(attempt) => self.filled(now, attempt, &mut out),
+            Event::BodyReceived(attempt) => self.filled(now, attempt, &mut out),
             Event::Call(stream, call) => self.call(now, stream, call, &mut out),
             Event::Closed(stream) => self.closed(now, stream, &mut out),
-            Event::Begun(attempt) => {
+            Event::FirstOutput(attempt) => {
                 if let Some(record) = self.records.get_mut(&attempt) {
                     record.begun = true;
                 }
@@ -328,8 +328,8 @@
             Event::Held(attempt) => self.held(attempt),
             Event::Rejected(attempt, cause) => self.rejected(now, attempt, cause, &mut out),
             Event::Ended(reply) => self.ended(now, reply, &mut out),
-            Event::Cut(attempt) => self.cut(now, attempt, &mut out),
-            Event::Vanished(attempt) => self.vanished(now, attempt, &mut out),
+            Event::Disconnected(attempt) => self.cut(now, attempt, &mut out),
+            Event::NotFound(attempt) => self.vanished(now, attempt, &mut out),
             Event::Stopped(run) => self.stopped(now, &run),
             Event::Unreachable => self.unreachable(now, &mut out),
             Event::List {
@@ -337,7 +337,7 @@
                 runs,
                 segments,
             } => self.list(now, incarnation, &runs, &segments, &mut out),
-            Event::Reported => self.reported(now, &mut out),
+            Event::CrashReported => self.reported(now, &mut out),
             Event::Drain => {
                 if !self.draining {
                     self.draining = true;
@@ -351,11 +351,11 @@
 
     /// The exact load.
     pub fn load(&self) -> member::Load {
-        let room = self.backend.as_ref().map(|backend| backend.room);
-        let room = room.unwrap_or_default();
+        let capacity = self.backend.as_ref().map(|backend| backend.capacity);
+        let capacity = capacity.unwrap_or_default();
         let mut load = member::Load {
-            slots: room.slots,
-            memory_tokens: room.memory,
+            slots: capacity.slots,
+            memory_tokens: capacity.memory,
             prefill_rate: self.speed.0,
             token_micros: self.speed.1,
             used_tokens: self.orphans.values().map(|(_, memory)| memory).sum(),
@@ -409,13 +409,13 @@
     }
 
     /// Whether anything of an attempt is held here.
-    pub fn holds(&self, attempt: id::Attempt) -> bool {
+    pub fn contains(&self, attempt: id::Attempt) -> bool {
         self.records.contains_key(&attempt) || self.kept.contains_key(&attempt)
     }
 
     /// Tombstones, for metrics.
-    pub fn tombs(&self) -> usize {
-        self.tombs.len()
+    pub fn tombstones(&self) -> usize {
+        self.tombstones.len()
     }
 
     fn is_plain(&self) -> bool {
@@ -425,14 +425,14 @@
     }
 
     /// Whether a tombstone can be set for one more attempt.
-    fn has_room(&self) -> bool {
-        self.tombs.has_room(self.records.len())
+    fn has_capacity(&self) -> bool {
+        self.tombstones.has_capacity(self.records.len())
     }
 
     /// Ends an attempt that was in progress: its room is free, its fate is remembered.
     fn bury(&mut self, attempt: id::Attempt, ran: Ran) -> Option<Record> {
         let record = self.records.remove(&attempt)?;
-        self.tombs.bury(attempt, ran);
+        self.tombstones.insert(attempt, ran);
         Some(record)
     }
 
@@ -444,7 +444,7 @@
     }
 
     fn refusal(&self, attempt: id::Attempt, cause: Cause, message: &str) -> run::Reply {
-        let retry = ROOM_RETRY.as_millis() as u64;
+        let retry = CAPACITY_RETRY_AFTER.as_millis() as u64;
         run::Reply::Refused {
             attempt,
             failure: outcome::Failure::not_run(cause, Some(retry), message),
@@ -455,7 +455,7 @@
 
 /// The final word on an attempt that failed.
 fn failed(attempt: id::Attempt, cause: Cause, ran: Ran, message: &str) -> run::Reply {
-    let retry = (ran == Ran::NotRun).then_some(ROOM_RETRY.as_millis() as u64);
+    let retry = (ran == Ran::NotRun).then_some(CAPACITY_RETRY_AFTER.as_millis() as u64);
     run::Reply::Failed {
         attempt,
         failure: outcome::Failure {
--- a/src/sidecar/ledger/backend.rs
+++ b/src/sidecar/ledger/backend.rs
@@ -9,7 +9,7 @@
 use super::Ledger;
 use super::Listed;
 use super::Phase;
-use super::REPORT_WAIT;
+use super::REPORT_TIMEOUT;
 use super::Segment;
 use super::failed;
 use super::parse;
@@ -67,7 +67,7 @@
                     if !record.is_held() {
                         running.extend(record.fingerprint);
                     }
-                    record.phase = Phase::Failing(now + REPORT_WAIT);
+                    record.phase = Phase::Failing(now + REPORT_TIMEOUT);
                 }
                 Phase::Stopping(_) => {
                     running.extend(record.fingerprint);
@@ -175,7 +175,7 @@
         if let Some(fingerprint) = record.fingerprint
             && ran == Ran::Ran
         {
-            out.push(Action::Finished(fingerprint));
+            out.push(Action::ClearSuspect(fingerprint));
         }
         out.push(Action::End(reply));
     }
@@ -212,7 +212,7 @@
         };
         if record.phase == Phase::Running {
             // Lost by a new life of the engine, which its list tells, or by this one.
-            record.phase = Phase::Missing(now + REPORT_WAIT);
+            record.phase = Phase::Missing(now + REPORT_TIMEOUT);
             out.push(Action::List);
         }
     }
@@ -280,7 +280,7 @@
                 continue;
             }
             let since = old.get(&listed.id).map_or(now, |(since, _)| *since);
-            let is_over = attempt.is_some_and(|attempt| self.tombs.fate(attempt).is_some());
+            let is_over = attempt.is_some_and(|attempt| self.tombstones.outcome(attempt).is_some());
             if is_over || now >= since + super::ORPHAN_GRACE {
                 out.push(Action::Stop(listed.id.clone()));
             }
@@ -294,9 +294,9 @@
             }
             let key = format!("segment {}", segment.handle);
             let since = old.get(&key).map_or(now, |(since, _)| *since);
-            let is_over = owner.is_some_and(|owner| self.tombs.fate(owner).is_some());
+            let is_over = owner.is_some_and(|owner| self.tombstones.outcome(owner).is_some());
             if is_over || now >= since + super::ORPHAN_GRACE {
-                out.push(Action::Free(segment.handle.clone()));
+                out.push(Action::FreeSegment(segment.handle.clone()));
             }
             self.orphans.insert(key, (since, segment.tokens));
         }
--- a/src/sidecar/ledger/call.rs
+++ b/src/sidecar/ledger/call.rs
@@ -35,11 +35,11 @@
             // Sent twice: the first one counts.
             return;
         }
-        if let Some(ran) = self.tombs.fate(attempt) {
+        if let Some(ran) = self.tombstones.outcome(attempt) {
             let reply = self.buried(attempt, ran);
             return out.push(Action::Reply(stream, reply));
         }
-        if !self.has_room() {
+        if !self.has_capacity() {
             // Without a tombstone a late copy of a folded offer might still run, so nothing is
             // said of it; one that waits for its start never gets it.
             if !offer.start {
@@ -62,8 +62,8 @@
                 }
             }
             Err((cause, message)) => {
-                self.tombs.bury(attempt, Ran::NotRun);
-                out.push(Action::Forget(attempt));
+                self.tombstones.insert(attempt, Ran::NotRun);
+                out.push(Action::Discard(attempt));
                 let reply = self.refusal(attempt, cause, message);
                 out.push(Action::Reply(stream, reply));
             }
@@ -99,8 +99,8 @@
         if offer.suspect && records.any(|it| it.suspect && it.fingerprint != other) {
             return Err((Cause::Busy, "another suspect is on the backend server"));
         }
-        let cost = backend.room.cost(&offer.work);
-        match backend.room.admit(&self.load(), offer.class, cost) {
+        let cost = backend.capacity.cost(&offer.work);
+        match backend.capacity.admit(&self.load(), offer.class, cost) {
             Ok(()) => Ok(cost),
             Err(cause) => Err((cause, "no room on the backend server")),
         }
@@ -214,7 +214,7 @@
         if self.records.contains_key(&attempt) || self.kept.contains_key(&attempt) {
             return self.start(now, attempt, out);
         }
-        let reply = match self.tombs.fate(attempt) {
+        let reply = match self.tombstones.outcome(attempt) {
             Some(ran) => self.buried(attempt, ran),
             None => run::Reply::Unknown(attempt),
         };
@@ -233,8 +233,8 @@
                 return;
             }
             // A late offer of it must not run. Of an earlier life nothing is known.
-            if self.has_room() {
-                self.tombs.bury(attempt, Ran::MayHaveRun);
+            if self.has_capacity() {
+                self.tombstones.insert(attempt, Ran::MayHaveRun);
             }
             if self.orphans.contains_key(&attempt.to_string()) {
                 out.push(Action::Stop(attempt.to_string()));
@@ -263,7 +263,7 @@
         out: &mut Vec<Action>,
     ) -> run::Reply {
         self.bury(attempt, Ran::NotRun);
-        out.push(Action::Forget(attempt));
+        out.push(Action::Discard(attempt));
         self.refusal(attempt, cause, message)
     }
 
@@ -327,14 +327,14 @@
         if self.kept.contains_key(&attempt) {
             return out.push(Action::Attach(stream, attempt, offset));
         }
-        if let Some(ran) = self.tombs.fate(attempt) {
+        if let Some(ran) = self.tombstones.outcome(attempt) {
             let reply = self.buried(attempt, ran);
             return out.push(Action::Reply(stream, reply));
         }
         if life == self.life {
-            let has_room = self.has_room();
-            let reply = if has_room {
-                self.tombs.bury(attempt, Ran::NotRun);
+            let has_capacity = self.has_capacity();
+            let reply = if has_capacity {
+                self.tombstones.insert(attempt, Ran::NotRun);
                 self.refusal(attempt, Cause::Tombstoned, "never offered, and now never")
             } else {
                 run::Reply::Unknown(attempt)
@@ -424,7 +424,7 @@
             record.silent = Some(now);
             if matches!(record.phase, Phase::Filling | Phase::Reserved) {
                 self.bury(attempt, Ran::NotRun);
-                out.push(Action::Forget(attempt));
+                out.push(Action::Discard(attempt));
             }
         }
     }
--- a/src/sidecar/ledger/segment.rs
+++ b/src/sidecar/ledger/segment.rs
@@ -95,7 +95,7 @@
     ) {
         let is_late = self.left.is_some_and(|left| now >= left + LEAVING_GRACE);
         let Some(record) = self.records.get_mut(&attempt) else {
-            let reply = match self.tombs.fate(attempt) {
+            let reply = match self.tombstones.outcome(attempt) {
                 Some(ran) => self.buried(attempt, ran),
                 None => run::Reply::Unknown(attempt),
             };
@@ -137,7 +137,7 @@
             return None;
         }
         let backend = self.present(now)?;
-        let cost = backend.room.cost(&offer.work);
+        let cost = backend.capacity.cost(&offer.work);
         let request = offer.attempt.request;
         for (attempt, record) in &mut self.records {
             if attempt.request != request || record.phase != Phase::Running {
--- a/src/sidecar/ledger/time.rs
+++ b/src/sidecar/ledger/time.rs
@@ -113,7 +113,7 @@
             .collect();
         for attempt in past {
             self.kept.remove(&attempt);
-            out.push(Action::Forget(attempt));
+            out.push(Action::Discard(attempt));
         }
     }
 }
--- a/tests/gang_matrix/world.rs
+++ b/tests/gang_matrix/world.rs
@@ -12,8 +12,8 @@
 use wigeonbarrow::entry::gang::plan;
 use wigeonbarrow::entry::request;
 use wigeonbarrow::sidecar::buffer;
+use wigeonbarrow::sidecar::capacity;
 use wigeonbarrow::sidecar::ledger;
-use wigeonbarrow::sidecar::room;
 use wigeonbarrow::wire::id;
 use wigeonbarrow::wire::member;
 use wigeonbarrow::wire::outcome;
@@ -273,7 +273,7 @@
                     incarnation: id::Incarnation(engine.life),
                     kind: member::Kind::Engine,
                     models: vec!["m".to_owned()],
-                    room: room::Room {
+                    capacity: capacity::Capacity {
                         slots: 4,
                         memory: engine::MEMORY,
                     },
--- a/tests/gang_matrix/world/callers.rs
+++ b/tests/gang_matrix/world/callers.rs
@@ -3,7 +3,7 @@
 use wigeonbarrow::entry::gang;
 use wigeonbarrow::entry::gang::plan;
 use wigeonbarrow::entry::request;
-use wigeonbarrow::sidecar::room;
+use wigeonbarrow::sidecar::capacity;
 use wigeonbarrow::wire::id;
 use wigeonbarrow::wire::outcome;
 use wigeonbarrow::wire::run;
@@ -28,7 +28,7 @@
                 && sidecar.ledger.present(self.now).is_some()
                 && !sidecar.ledger.leaving();
             if is_open {
-                let memory = room::long_memory(engine::MEMORY);
+                let memory = capacity::long_memory(engine::MEMORY);
                 candidates.push(plan::Candidate {
                     target: request::Target {
                         server: format!("s{server}"),
--- a/tests/gang_matrix/world/sidecars.rs
+++ b/tests/gang_matrix/world/sidecars.rs
@@ -43,7 +43,7 @@
                 let attempt = stream.attempt;
                 if let Some(offer) = sidecar.offers.get_mut(&attempt) {
                     offer.0 = body;
-                    self.tell(server, ledger::Event::Filled(attempt));
+                    self.tell(server, ledger::Event::BodyReceived(attempt));
                 }
             }
             call => self.tell(server, ledger::Event::Call(number, call)),
@@ -97,24 +97,27 @@
             }
             Action::Release(attempt) => self.ask(server, Op::Release(attempt)),
             Action::Stop(run) => self.ask(server, Op::Stop(run)),
-            Action::Free(handle) => self.ask(server, Op::Free(handle)),
+            Action::FreeSegment(handle) => self.ask(server, Op::Free(handle)),
             Action::List => self.ask(server, Op::List),
             Action::End(reply) => {
                 let attempt = reply.attempt();
                 if let Some(buffer) = sidecar.buffers.get_mut(&attempt) {
-                    buffer.end(reply);
+                    buffer.finish(reply);
                     self.flow(server, attempt);
                 }
             }
-            Action::Forget(attempt) => {
+            Action::Discard(attempt) => {
                 sidecar.offers.remove(&attempt);
                 sidecar.buffers.remove(&attempt);
             }
             Action::Crash { .. } => {
                 let life = sidecar.life;
-                self.put(ms(20), Msg::Ledger(server, life, ledger::Event::Reported));
+                self.put(
+                    ms(20),
+                    Msg::Ledger(server, life, ledger::Event::CrashReported),
+                );
             }
-            Action::Announce | Action::Finished(_) => {}
+            Action::Announce | Action::ClearSuspect(_) => {}
         }
     }
 
@@ -184,8 +187,8 @@
                 Op::Hold(attempt, ..) | Op::Run(attempt, ..) => {
                     ledger::Event::Rejected(attempt, Cause::NoServer)
                 }
-                Op::Held(attempt, _) | Op::Step(attempt) => ledger::Event::Cut(attempt),
-                Op::Resume(attempt) => ledger::Event::Vanished(attempt),
+                Op::Held(attempt, _) | Op::Step(attempt) => ledger::Event::Disconnected(attempt),
+                Op::Resume(attempt) => ledger::Event::NotFound(attempt),
                 Op::Release(_) | Op::Stop(_) | Op::Free(_) | Op::List => ledger::Event::Tick,
             };
             return self.answer(server, sidecar, event);
@@ -217,7 +220,7 @@
                 {
                     let url = engine::url(server);
                     let tokens = self.engines[server].tokens(&handle).unwrap_or_default();
-                    buffer.held(run::Context { url, handle }, tokens);
+                    buffer.set_held(run::Context { url, handle }, tokens);
                     self.flow(server, attempt);
                     self.answer(server, sidecar, ledger::Event::Held(attempt));
                 }
@@ -275,7 +278,7 @@
     /// Brings a sidecar the tokens of a run that it has not.
     pub(super) fn tokens(&mut self, server: usize, life: u64, attempt: id::Attempt) {
         let Some(run) = self.engines[server].runs.get(&attempt.to_string()) else {
-            return self.answer(server, life, ledger::Event::Vanished(attempt));
+            return self.answer(server, life, ledger::Event::NotFound(attempt));
         };
         let sidecar = &mut self.sidecars[server];
         let Some(buffer) = sidecar
@@ -287,7 +290,7 @@
         };
         let offset = buffer.length();
         let tokens = (offset..run.length).map(|at| (run.hash.wrapping_add(at)).to_string());
-        buffer.tokens(offset, tokens.collect());
+        buffer.push_tokens(offset, tokens.collect());
         let done = (run.length == run.max).then(|| run::Reply::Done {
             attempt,
             length: run.length,
@@ -295,7 +298,7 @@
             usage: run::Usage::default(),
         });
         self.flow(server, attempt);
-        self.answer(server, life, ledger::Event::Begun(attempt));
+        self.answer(server, life, ledger::Event::FirstOutput(attempt));
         if let Some(done) = done {
             self.answer(server, life, ledger::Event::Ended(done));
         }
--- a/tests/request_matrix/sidecars.rs
+++ b/tests/request_matrix/sidecars.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use wigeonbarrow::sidecar::buffer;
+use wigeonbarrow::sidecar::capacity;
 use wigeonbarrow::sidecar::ledger;
-use wigeonbarrow::sidecar::room;
 use wigeonbarrow::wire::agree::Command;
 use wigeonbarrow::wire::id;
 use wigeonbarrow::wire::member;
@@ -62,7 +62,7 @@
                 member::Kind::Engine
             },
             models: vec!["m".to_owned()],
-            room: room::Room {
+            capacity: capacity::Capacity {
                 slots: 8,
                 memory: 10_000,
             },
@@ -79,7 +79,7 @@
             self.put(HOP, Msg::Told(server, life, ledger::Event::Unreachable));
             let event = match http {
                 Http::Post(attempt, _) => ledger::Event::Rejected(attempt, Cause::NoServer),
-                Http::Get(attempt, ..) => ledger::Event::Cut(attempt),
+                Http::Get(attempt, ..) => ledger::Event::Disconnected(attempt),
                 Http::Delete(_) | Http::List => return,
             };
             return self.put(HOP, Msg::Told(server, life, event));
@@ -131,7 +131,7 @@
             backend::Answer::Refused(409) => {}
             backend::Answer::Refused(_) => self.put(
                 HOP,
-                Msg::Told(server, life, ledger::Event::Vanished(attempt)),
+                Msg::Told(server, life, ledger::Event::NotFound(attempt)),
             ),
         }
     }
@@ -142,7 +142,7 @@
         if !self.sidecars[server].alive {
             return;
         }
-        if let ledger::Event::Cut(attempt) = &event {
+        if let ledger::Event::Disconnected(attempt) = &event {
             self.sidecars[server].conns.remove(attempt);
         }
         for action in self.sidecars[server].ledger.step(self.now, event) {
@@ -200,11 +200,11 @@
             ledger::Action::End(reply) => {
                 let attempt = reply.attempt();
                 if let Some(buffer) = sidecar.buffers.get_mut(&attempt) {
-                    buffer.end(reply);
+                    buffer.finish(reply);
                 }
                 self.flow(server, attempt);
             }
-            ledger::Action::Forget(attempt) => {
+            ledger::Action::Discard(attempt) => {
                 sidecar.buffers.remove(&attempt);
                 sidecar.conns.remove(&attempt);
             }
@@ -218,7 +218,7 @@
                 };
                 self.put(HOP, Msg::ToControl(None, server, command));
             }
-            ledger::Action::Finished(fingerprint) => {
+            ledger::Action::ClearSuspect(fingerprint) => {
                 if self.control.suspects.contains_key(&fingerprint) {
                     self.put(
                         HOP,
@@ -226,7 +226,9 @@
                     );
                 }
             }
-            ledger::Action::Free(_) | ledger::Action::Hold(..) | ledger::Action::Release(_) => {}
+            ledger::Action::FreeSegment(_)
+            | ledger::Action::Hold(..)
+            | ledger::Action::Release(_) => {}
         }
     }
 
@@ -246,20 +248,20 @@
         };
         let event = match line {
             backend::Line::Head => {
-                buffer.head(200, Vec::new());
-                ledger::Event::Begun(attempt)
+                buffer.set_head(200, Vec::new());
+                ledger::Event::FirstOutput(attempt)
             }
             backend::Line::Tokens(offset, tokens) => {
                 if plain {
                     if offset < buffer.length() {
                         return;
                     }
-                    buffer.bytes(&Bytes::from(vec![b'x'; tokens.len()]));
-                } else if !buffer.tokens(offset, tokens) {
+                    buffer.push_bytes(&Bytes::from(vec![b'x'; tokens.len()]));
+                } else if !buffer.push_tokens(offset, tokens) {
                     self.sidecars[server].conns.remove(&attempt);
-                    return self.tell(server, ledger::Event::Cut(attempt));
+                    return self.tell(server, ledger::Event::Disconnected(attempt));
                 }
-                ledger::Event::Begun(attempt)
+                ledger::Event::FirstOutput(attempt)
             }
             backend::Line::Done(length) if length == buffer.length() => {
                 ledger::Event::Ended(run::Reply::Done {
@@ -269,7 +271,7 @@
                     usage: run::Usage::default(),
                 })
             }
-            backend::Line::Done(_) => ledger::Event::Cut(attempt),
+            backend::Line::Done(_) => ledger::Event::Disconnected(attempt),
             backend::Line::Error => ledger::Event::Ended(run::Reply::Failed {
                 attempt,
                 failure: outcome::Failure::may_have_run(Cause::ServerError, "cancelled"),
@@ -379,7 +381,7 @@
                 let limit = ms(offer.remaining_ms);
                 self.sidecars[server].offers.insert(attempt, (first, limit));
                 self.tell(server, ledger::Event::Offer(number, offer));
-                self.tell(server, ledger::Event::Filled(attempt));
+                self.tell(server, ledger::Event::BodyReceived(attempt));
             }
             call => self.tell(server, ledger::Event::Call(number, call)),
         }
--- a/tests/request_matrix/strikes.rs
+++ b/tests/request_matrix/strikes.rs
@@ -25,7 +25,10 @@
         match fault {
             Fault::Lose => {
                 if let Msg::Line(server, life, attempt, ..) = msg {
-                    self.put(HOP, Msg::Told(*server, *life, ledger::Event::Cut(*attempt)));
+                    self.put(
+                        HOP,
+                        Msg::Told(*server, *life, ledger::Event::Disconnected(*attempt)),
+                    );
                 }
                 if let Msg::ToBackend(
                     server,
@@ -33,7 +36,10 @@
                     Http::Post(attempt, _) | Http::Get(attempt, ..),
                 ) = msg
                 {
-                    self.put(HOP, Msg::Told(*server, *life, ledger::Event::Cut(*attempt)));
+                    self.put(
+                        HOP,
+                        Msg::Told(*server, *life, ledger::Event::Disconnected(*attempt)),
+                    );
                 }
                 return false;
             }
@@ -168,7 +174,10 @@
         self.sidecars[server].conns.clear();
         let life = self.sidecars[server].life;
         for attempt in cut {
-            self.put(HOP, Msg::Told(server, life, ledger::Event::Cut(attempt)));
+            self.put(
+                HOP,
+                Msg::Told(server, life, ledger::Event::Disconnected(attempt)),
+            );
         }
     }
 
--- a/tests/request_matrix/world.rs
+++ b/tests/request_matrix/world.rs
@@ -347,7 +347,7 @@
                     Some(caller) if is_claim => self.put(HOP, Msg::Verdict(caller, verdict)),
                     None if is_crash && !self.control.down => {
                         let life = self.sidecars[server].life;
-                        self.put(HOP, Msg::Told(server, life, ledger::Event::Reported));
+                        self.put(HOP, Msg::Told(server, life, ledger::Event::CrashReported));
                     }
                     _ => {}
                 }
--- a/tests/sidecar_ledger.rs
+++ b/tests/sidecar_ledger.rs
@@ -4,12 +4,12 @@
 
 use assert_matches::assert_matches;
 use wigeonbarrow::sidecar::buffer;
+use wigeonbarrow::sidecar::capacity;
 use wigeonbarrow::sidecar::fence;
 use wigeonbarrow::sidecar::ledger;
 use wigeonbarrow::sidecar::ledger::Action;
 use wigeonbarrow::sidecar::ledger::Event;
-use wigeonbarrow::sidecar::room;
-use wigeonbarrow::sidecar::tomb;
+use wigeonbarrow::sidecar::tombstone;
 use wigeonbarrow::wire::id;
 use wigeonbarrow::wire::member;
 use wigeonbarrow::wire::outcome::Cause;
@@ -61,7 +61,7 @@
         incarnation: id::Incarnation(life),
         kind: member::Kind::Engine,
         models: vec!["m".to_owned()],
-        room: room::Room {
+        capacity: capacity::Capacity {
             slots: SLOTS,
             memory: MEMORY,
         },
@@ -238,7 +238,7 @@
     // A late copy, with its whole body, never starts.
     let late = take(&mut ledger, ms(3), filling);
     assert_eq!(refusal(&late), Some(Cause::Tombstoned));
-    assert!(!runs(&ledger.step(ms(3), Event::Filled(attempt(1)))));
+    assert!(!runs(&ledger.step(ms(3), Event::BodyReceived(attempt(1)))));
     // A reservation goes with its stream, at once, and its start comes too late.
     let mut once = offer(2, run::Class::Short, 10);
     (once.repeatable, once.start) = (false, false);
@@ -287,18 +287,18 @@
 
 #[test]
 fn frozen_tombstones() {
-    let mut tombs = tomb::Tombs::new(8);
+    let mut tombs = tombstone::Tombstones::new(8);
     tombs.tick(ms(0));
-    tombs.bury(attempt(1), Ran::NotRun);
+    tombs.insert(attempt(1), Ran::NotRun);
     // A freeze of a day does not age it: frames as old as the freeze may wait.
     tombs.tick(Duration::from_secs(86_400));
-    assert_eq!(tombs.fate(attempt(1)), Some(Ran::NotRun));
+    assert_eq!(tombs.outcome(attempt(1)), Some(Ran::NotRun));
     let mut now = Duration::from_secs(86_400);
-    for _ in 0..=tomb::TTL.as_secs() {
+    for _ in 0..=tombstone::TTL.as_secs() {
         now += Duration::from_secs(1);
         tombs.tick(now);
     }
-    assert_eq!(tombs.fate(attempt(1)), None);
+    assert_eq!(tombs.outcome(attempt(1)), None);
     assert!(tombs.is_empty());
 }
 
@@ -342,7 +342,7 @@
     let late = ms(10) + ledger::ORPHAN_GRACE;
     let actions = ledger.step(late, list(&[("stray", true)], &["k1"]));
     assert!(actions.contains(&Action::Stop("stray".to_owned())));
-    assert!(actions.contains(&Action::Free("k1".to_owned())));
+    assert!(actions.contains(&Action::FreeSegment("k1".to_owned())));
     ledger.step(late, list(&[], &[]));
     assert_eq!(ledger.load().used_tokens, 0);
 }
@@ -368,7 +368,7 @@
             .iter()
             .any(|action| matches!(action, Action::End(_)))
     );
-    let actions = ledger.step(ms(6), Event::Reported);
+    let actions = ledger.step(ms(6), Event::CrashReported);
     let ends = actions.iter().filter(|action| {
         matches!(action, Action::End(run::Reply::Failed { failure, .. })
             if failure.ran == Ran::MayHaveRun && failure.cause == Cause::ServerLost)
@@ -383,9 +383,9 @@
 fn late_crash() {
     let mut ledger = present(64);
     take(&mut ledger, ms(1), offer(1, run::Class::Short, 10));
-    ledger.step(ms(2), Event::Vanished(attempt(1)));
+    ledger.step(ms(2), Event::NotFound(attempt(1)));
     // The list does not come: the run is lost, why shows later.
-    let past = ms(2) + ledger::REPORT_WAIT;
+    let past = ms(2) + ledger::REPORT_TIMEOUT;
     let actions = ledger.step(past, Event::Tick);
     assert!(
         actions
@@ -399,7 +399,7 @@
     }));
     // A list of the same life says that it is no crash.
     take(&mut ledger, past + ms(901), offer(2, run::Class::Short, 10));
-    ledger.step(past + ms(902), Event::Vanished(attempt(2)));
+    ledger.step(past + ms(902), Event::NotFound(attempt(2)));
     let same = Event::List {
         incarnation: id::Incarnation(2),
         runs: Vec::new(),
@@ -413,9 +413,9 @@
 #[test]
 fn buffer_offsets() {
     let mut buffer = buffer::Buffer::new(attempt(1), 3);
-    assert!(buffer.tokens(3, vec!["d".to_owned(), "e".to_owned()]));
-    assert!(buffer.tokens(4, vec!["e".to_owned(), "f".to_owned()]));
-    assert!(!buffer.tokens(9, vec!["z".to_owned()]));
+    assert!(buffer.push_tokens(3, vec!["d".to_owned(), "e".to_owned()]));
+    assert!(buffer.push_tokens(4, vec!["e".to_owned(), "f".to_owned()]));
+    assert!(!buffer.push_tokens(9, vec!["z".to_owned()]));
     assert_matches!(buffer.next(false, 4), buffer::Next::Send(run::Reply::Chunk { offset: 4, tokens, .. }, 6) => {
         assert_eq!(tokens, ["e", "f"]);
     });
@@ -423,16 +423,16 @@
     assert_eq!(buffer.next(false, 6), buffer::Next::Wait);
     // A plain service's answer: what was sent long ago is dropped, the rest can be resumed.
     let mut bytes = buffer::Buffer::new(attempt(2), 0);
-    let part = bytes::Bytes::from(vec![1; buffer::KEEP]);
-    bytes.head(200, Vec::new());
+    let part = bytes::Bytes::from(vec![1; buffer::KEPT_BYTES]);
+    bytes.set_head(200, Vec::new());
     for _ in 0..3 {
-        bytes.bytes(&part);
+        bytes.push_bytes(&part);
     }
-    assert!(!bytes.has_room(0));
-    bytes.sent(3 * buffer::KEEP as u64);
+    assert!(!bytes.has_capacity(0));
+    bytes.mark_sent(3 * buffer::KEPT_BYTES as u64);
     assert_eq!(bytes.next(true, 0), buffer::Next::Gone);
     assert_matches!(
-        bytes.next(true, 2 * buffer::KEEP as u64),
+        bytes.next(true, 2 * buffer::KEPT_BYTES as u64),
         buffer::Next::Send(..)
     );
 }
