--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! Decisions of the sidecar role: admission, the ledger of runs and memory. No input or output.
+//! Logic of the sidecar role without I/O: admission, and the ledger of runs and memory.
 
 pub mod buffer;
 pub mod capacity;
--- a/src/sidecar/buffer.rs
+++ b/src/sidecar/buffer.rs
@@ -1,5 +1,5 @@
-//! The answer of one attempt as it comes from the backend server, kept so that any stream can
-//! take it from any offset.
+//! The response of one attempt as received from the backend server, kept so that any stream can
+//! read it from any offset.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -7,34 +7,33 @@
 use crate::wire::id;
 use crate::wire::run;
 
-/// Most bytes of a plain service's answer that are kept after they were sent.
+/// Bytes of a plain service's response that are kept after they were sent.
 pub const KEPT_BYTES: usize = 1 << 20;
 
-/// Bytes of a plain service's answer that may wait to be sent.
+/// Bytes of a plain service's response that may wait to be sent.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
 
-/// Most bytes in one chunk.
 const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// What a stream at some offset gets next.
+/// What a stream gets next at its offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Send this, and go on at this offset.
+    /// Send this reply, then continue at this offset.
     Send(run::Reply, u64),
-    /// The final word.
+    /// The final reply.
     End(run::Reply),
     /// Nothing yet.
     Wait,
-    /// What was asked for is no longer kept, or never was.
+    /// The response at this offset is not kept.
     Gone,
 }
 
-/// The answer of one attempt.
+/// The response of one attempt.
 #[derive(Clone, Debug)]
 pub struct Buffer {
     attempt: id::Attempt,
-    /// What comes before tokens and bytes: the head of a plain service's answer, or the word that
-    /// a segment is held.
+    /// Sent before tokens and bytes: the head of a plain service's response, or the reply that a
+    /// segment is held.
     head: Option<run::Reply>,
     /// Number of the first token or byte kept.
     first_kept: u64,
@@ -44,7 +43,7 @@
 }
 
 impl Buffer {
-    /// An answer of which the first token or byte will be number `first`.
+    /// An empty response whose first token or byte will have number `first`.
     pub fn new(attempt: id::Attempt, first: u64) -> Self {
         Self {
             attempt,
@@ -56,17 +55,17 @@
         }
     }
 
-    /// Number after the last token or byte that came.
+    /// Number after the last token or byte received.
     pub fn length(&self) -> u64 {
         self.first_kept + self.tokens.len() as u64 + self.bytes.len() as u64
     }
 
-    /// Whether the final word was said.
+    /// Whether the final reply was received.
     pub fn is_ended(&self) -> bool {
         self.end.is_some()
     }
 
-    /// Takes the head of a plain service's answer.
+    /// Records the head of a plain service's response.
     pub fn set_head(&mut self, status: u16, headers: Vec<(String, String)>) {
         if self.end.is_none() {
             self.head.get_or_insert(run::Reply::Head {
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Takes the word that the segment is held.
+    /// Records that the segment is held.
     pub fn set_held(&mut self, segment: run::Context, tokens: u64) {
         if self.end.is_none() {
             self.head.get_or_insert(run::Reply::Held {
@@ -88,8 +87,8 @@
         }
     }
 
-    /// Takes tokens, the first of which has number `offset`. Known ones are dropped; `false`:
-    /// some between are missing.
+    /// Appends tokens, the first of which has number `offset`. Known ones are skipped. Returns
+    /// `false` if tokens before `offset` are missing.
     pub fn push_tokens(&mut self, offset: u64, tokens: Vec<String>) -> bool {
         let length = self.length();
         if offset > length {
@@ -102,35 +101,35 @@
         true
     }
 
-    /// Takes the next bytes of a plain service's answer.
+    /// Appends bytes of a plain service's response.
     pub fn push_bytes(&mut self, bytes: &Bytes) {
         if self.end.is_none() {
             self.bytes.extend_from_slice(bytes);
         }
     }
 
-    /// Drops bytes that were sent up to `offset`, but for the last [`KEPT_BYTES`].
+    /// Drops bytes before `offset`, which were sent, except the last [`KEPT_BYTES`].
     pub fn mark_sent(&mut self, offset: u64) {
         let sent = offset.saturating_sub(self.first_kept) as usize;
         let drop = sent.saturating_sub(KEPT_BYTES).min(self.bytes.len());
-        // Moving the rest for a few bytes is not worth it.
+        // Dropping a few bytes at a time would copy the rest too often.
         if drop >= KEPT_BYTES {
             let _ = self.bytes.split_to(drop);
             self.first_kept += drop as u64;
         }
     }
 
-    /// Whether a plain service's answer may bring more, sent up to `offset`.
+    /// Whether more of a plain service's response may be read, if it was sent up to `offset`.
     pub fn has_capacity(&self, offset: u64) -> bool {
         self.length().saturating_sub(offset) < MAX_UNSENT_BYTES as u64
     }
 
-    /// Says the final word. The first one stands.
+    /// Records the final reply. Later ones are ignored.
     pub fn finish(&mut self, reply: run::Reply) {
         self.end.get_or_insert(reply);
     }
 
-    /// What a stream gets that has everything before `offset` and, if `head_sent`, the head.
+    /// What a stream gets next that has everything before `offset` and, if `head_sent`, the head.
     pub fn next(&self, head_sent: bool, offset: u64) -> Next {
         if let (false, Some(head)) = (head_sent, &self.head) {
             return Next::Send(head.clone(), offset);
--- a/src/sidecar/ledger.rs
+++ b/src/sidecar/ledger.rs
@@ -1,7 +1,7 @@
-//! What runs on the backend server, for whom, and what it holds.
+//! Attempts in progress on the backend server, and the slots and memory that they take.
 //!
-//! A pure state machine. Its driver feeds events in the order in which they came, carries out
-//! the actions in order, and sends [`Event::Tick`] every [`TICK`].
+//! A state machine without I/O. Its driver passes events in order of arrival, performs the
+//! returned actions in order, and sends [`Event::Tick`] every [`TICK`].
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,290 +24,291 @@
 /// Time between two ticks.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// Longest time limit that is honoured; longer ones are cut to it.
-pub const MAX_LIMIT: Duration = Duration::from_secs(60 * 60);
+/// Longest time limit of an attempt; longer ones are capped.
+pub const MAX_TIME_LIMIT: Duration = Duration::from_secs(60 * 60);
 
-/// How long the run of an entry that fell silent waits for its query before it is cancelled.
+/// How long a repeatable run goes on without a stream to its entry before it is cancelled.
 pub const RESUME_GRACE: Duration = Duration::from_secs(5);
 
-/// How long a finished answer is kept for queries.
-pub const KEEP: Duration = Duration::from_secs(10);
+/// How long the response of a finished attempt is kept for queries.
+pub const RESPONSE_TTL: Duration = Duration::from_secs(10);
 
-/// How long a run that this life does not know may go on before it is cancelled.
+/// How long a run or segment that the ledger does not know may stay before it is stopped. An
+/// entry may still take over a run started before the sidecar restarted.
 pub const ORPHAN_GRACE: Duration = Duration::from_secs(4);
 
-/// Time between two readings of the backend server's list of runs.
+/// Interval between reads of the engine's list of runs.
 pub const LIST_PERIOD: Duration = Duration::from_secs(2);
 
-/// The same while a segment is held: its engine's death shows in nothing else.
+/// The same while a segment is held: a held segment has no stream that would break if its engine
+/// died.
 pub const HELD_LIST_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time between two tries to stop a run.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before another try to stop a run or to reach the backend server.
+pub const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// A backend server that refuses connections for this long is dead.
-pub const DEATH_WAIT: Duration = Duration::from_millis(500);
+/// A backend server that refuses connections for this long is considered dead.
+pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a reservation made before its backend server was leaving may still be started.
+/// How long a reservation may still be started after the backend server began to leave.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
-/// How long after its announcement ran out a backend server is taken as frozen: what may run
-/// elsewhere is stopped.
-pub const FROZEN_WAIT: Duration = Duration::from_secs(2);
+/// How long after its announcement expired a backend server is considered frozen. Repeatable
+/// runs on it are then stopped, so that they can run elsewhere.
+pub const FROZEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the failures of a crash wait until the quorum knows of it.
+/// How long failure replies after a crash are withheld for the quorum to record it.
 pub const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When to come back after a refusal for want of room.
+/// Retry-after time of a rejection for lack of capacity.
 pub const CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Number of an entry's stream, drawn by the driver.
+/// Number of an entry's stream, assigned by the driver.
 pub type Stream = u64;
 
 /// The backend server as it announces itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
-    /// Its life.
+    /// Changes with each start of the backend server.
     pub incarnation: id::Incarnation,
-    /// What it is.
     pub kind: member::Kind,
     /// Models loaded.
     pub models: Vec<String>,
-    /// What it can hold.
     pub capacity: capacity::Capacity,
     /// How long the announcement is valid.
     pub ttl: Duration,
-    /// Asks for a drain.
+    /// Whether it asks for a drain.
     pub leaving: bool,
 }
 
 /// A run as the engine lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
-    /// Its id.
     pub id: String,
-    /// KV memory that it holds, in tokens.
+    /// KV memory in use, in tokens.
     pub memory: u64,
-    /// Whether it goes on.
+    /// Whether it is still running.
     pub live: bool,
 }
 
 /// A KV segment as the engine lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// Its handle.
     pub handle: String,
     /// The attempt that owns it.
     pub owner: String,
-    /// KV memory that it holds, in tokens.
+    /// KV memory in use, in tokens.
     pub tokens: u64,
 }
 
-/// What happened.
+/// Input of the ledger.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Sent every [`TICK`].
     Tick,
     /// The backend server announced itself.
     Announced(Backend),
-    /// The engine measured its speed: prefill tokens a second, microseconds a token.
+    /// The engine's speed: prefill tokens per second, microseconds per output token.
     Measured(u64, u64),
-    /// An offer came; its body follows.
+    /// An offer; its body follows.
     Offer(Stream, Box<run::Offer>),
-    /// The body of an offer is whole.
+    /// The body of an offer was received in full.
     BodyReceived(id::Attempt),
-    /// A call other than an offer and its body came.
+    /// A call other than an offer or its body.
     Call(Stream, run::Call),
     /// An entry's stream ended or failed.
     Closed(Stream),
-    /// The first token or the head of an answer came.
+    /// The first token or the head of a response was received.
     FirstOutput(id::Attempt),
     /// The engine holds the segment.
     Held(id::Attempt),
-    /// The backend server refused the run, or could not be reached with it: it was not run.
+    /// The backend server rejected the run or could not be reached: it was not run.
     Rejected(id::Attempt, Cause),
     /// The backend server ended the run with `Done` or `Failed`.
     Ended(run::Reply),
-    /// The stream from the backend server was cut; the run may go on.
+    /// The stream from the backend server broke; the run may go on.
     Disconnected(id::Attempt),
     /// The backend server does not know the run.
     NotFound(id::Attempt),
-    /// The backend server holds no such run any more.
+    /// The backend server no longer holds this run.
     Stopped(String),
     /// The backend server refused a connection.
     Unreachable,
-    /// The engine's list.
+    /// The engine's list of runs and KV segments.
     List {
-        /// Its life.
+        /// Incarnation of the engine.
         incarnation: id::Incarnation,
-        /// Its runs.
+        /// All runs that it holds, ended ones included.
         runs: Vec<Listed>,
-        /// Its KV segments.
+        /// All KV segments that it holds.
         segments: Vec<Segment>,
     },
-    /// The quorum knows of the last crash.
+    /// The quorum has recorded the last crash.
     CrashReported,
-    /// This process drains.
+    /// This process is draining.
     Drain,
 }
 
-/// What to do.
+/// What the driver is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send this on a stream.
+    /// Send a reply on a stream.
     Reply(Stream, run::Reply),
-    /// Send the answer of this attempt from this offset on, on a stream.
+    /// Send the response of an attempt on a stream, from this offset on.
     Attach(Stream, id::Attempt, u64),
     /// Start the run on the backend server.
     Run(id::Attempt),
-    /// Prefill the segment on the engine, after these.
+    /// Prefill the segment on the engine, after these earlier segments.
     Hold(id::Attempt, Vec<run::Context>),
-    /// Stop the prefill of a segment and free it, until the engine says that it holds nothing of
-    /// the attempt any more.
+    /// Stop the prefill of a segment and free it. [`Event::Stopped`] follows when the engine no
+    /// longer holds any of the attempt's memory.
     Release(id::Attempt),
-    /// Take up the run's stream from the engine again. The offset matters where nothing of the
-    /// answer is kept.
+    /// Reopen the run's stream from the engine. The offset is used if no part of the response is
+    /// kept.
     Resume(id::Attempt, u64),
-    /// Stop a run, until the backend server says that it holds it no more.
+    /// Stop a run. [`Event::Stopped`] follows when the backend server no longer holds it.
     Stop(String),
-    /// Say the final word on an attempt to all streams attached to it.
+    /// Send the final reply of an attempt to all streams attached to it.
     End(run::Reply),
-    /// Drop the answer of an attempt.
+    /// Drop the response of an attempt.
     Discard(id::Attempt),
     /// Free a KV segment.
     FreeSegment(String),
-    /// Read the engine's list.
+    /// Read the engine's list of runs and segments.
     List,
-    /// Announce to all entries at once.
+    /// Announce the backend server to all entries without delay.
     Announce,
     /// Report a crash to the quorum.
     Crash {
-        /// The life that ended.
+        /// The incarnation that crashed.
         engine: id::Incarnation,
-        /// What was running.
+        /// Requests that were running on it.
         running: Vec<id::Fingerprint>,
     },
-    /// A repeatable request ran to its end here: clear it if it is a suspect.
+    /// A request completed here: clear its fingerprint if it is a suspect.
     ClearSuspect(id::Fingerprint),
 }
 
-/// How far an attempt is.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Its body is on the way.
-    Filling,
-    /// It waits for its start.
+    /// Its body is being received.
+    ReceivingBody,
+    /// It has its reservation and waits for its start.
     Reserved,
-    /// It was handed to the backend server.
+    /// It was sent to the backend server.
     Running,
-    /// The backend server does not know it: its list tells whether a new life of it does not, or
-    /// this one; at this time it is taken as lost.
+    /// The backend server does not know it. Its list tells whether it restarted or lost the run by
+    /// itself. Without a list by this time the run is considered lost.
     Missing(Duration),
-    /// The backend server lost it; the final word waits until the quorum knows, or this time.
+    /// The backend server died. The final reply is withheld until the quorum has recorded the
+    /// crash, at most until this time.
     Failing(Duration),
-    /// The final word was said; it is being stopped. The next try is due at this time.
+    /// The final reply was sent and the run is being stopped. The next try is due at this time.
     Stopping(Duration),
 }
 
 /// An attempt in progress.
 #[derive(Clone, Debug)]
 struct Record {
-    /// `None`: taken over from an earlier life of the sidecar.
+    /// `None`: taken over from an earlier incarnation of the sidecar.
     fingerprint: Option<id::Fingerprint>,
     suspect: bool,
     class: run::Class,
     priority: u8,
     repeatable: bool,
-    /// Folded start.
+    /// Whether it starts as soon as its body is received, without a start call.
     start: bool,
     prompt_tokens: u64,
-    /// Number of the first token that the run gives.
-    first: u64,
+    /// Number of the first token that the run produces.
+    first_token: u64,
     /// Tokens reserved.
     cost: u64,
     deadline: Duration,
     phase: Phase,
-    /// The stream that it is attached to.
+    /// The entry's stream that it is attached to.
     stream: Option<Stream>,
-    /// Since when it has no stream.
-    silent: Option<Duration>,
-    /// When to take up the engine's stream again.
-    resume: Option<Duration>,
-    /// Whether its prefill is over.
-    begun: bool,
-    /// What it is to prompts larger than one engine.
+    /// When it lost its stream; `None` while attached.
+    detached_at: Option<Duration>,
+    /// When to reopen the engine's stream.
+    resume_at: Option<Duration>,
+    /// Whether its prefill has ended.
+    prefilled: bool,
+    /// Its part in a prompt that is larger than one engine.
     role: segment::Role,
 }
 
-/// A query of an attempt of an earlier life that waits for the engine's list.
+/// A query for an attempt of an earlier incarnation; it waits for the engine's list.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Query {
     stream: Stream,
     attempt: id::Attempt,
     offset: u64,
 }
 
-/// The ledger of one backend server.
+/// Attempts, tombstones and kept responses of one backend server.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    /// This life of the sidecar.
-    life: id::Incarnation,
+    /// Of the sidecar.
+    incarnation: id::Incarnation,
     backend: Option<Backend>,
-    /// Until when the announcement is valid.
-    valid: Duration,
-    /// The life of the backend server whose end was dealt with. Invariant: nothing runs in it.
-    dead: Option<id::Incarnation>,
+    /// When the announcement expires.
+    valid_until: Duration,
+    /// Latest incarnation of the backend server whose death was handled. Invariant: no attempt
+    /// runs in it.
+    last_dead: Option<id::Incarnation>,
     draining: bool,
-    /// Since when it gets no new work.
-    left: Option<Duration>,
-    /// In the order of attempts, so that equal ledgers act alike.
+    /// Since when no new work is admitted.
+    leaving_since: Option<Duration>,
+    /// Ordered, so that equal ledgers return equal actions.
     records: BTreeMap<id::Attempt, Record>,
-    /// Attempts whose answer is kept for queries, until when. Invariant: each has a tombstone.
-    kept: BTreeMap<id::Attempt, Duration>,
+    /// Attempts whose response is kept for queries, with its expiry. Invariant: each has a
+    /// tombstone.
+    kept_responses: BTreeMap<id::Attempt, Duration>,
     tombstones: tombstone::Tombstones,
-    /// Runs and segments that nobody here owns, since when, and their memory.
+    /// Runs and segments on the engine without a record here: when first listed, and their memory.
     orphans: BTreeMap<String, (Duration, u64)>,
-    /// Runs that nobody here owns and that ended, as last listed. Their answers are still there.
-    ended: BTreeSet<String>,
-    /// Queries that wait for the first list of this life.
-    asked: Vec<Asked>,
-    /// Whether the engine's list was read in this life.
-    listed: bool,
+    /// Ended runs in the last list without a record here. The engine still has their responses.
+    ended_orphans: BTreeSet<String>,
+    /// Queries that wait for the first list.
+    pending_queries: Vec<Query>,
+    /// Whether the engine's list was read since this process started.
+    has_list: bool,
     list_due: Duration,
-    /// Since when the backend server refuses connections.
-    refused: Option<Duration>,
-    /// Fingerprints of runs that were lost before it was known whether the backend server died,
-    /// until when they count for its crash.
-    cut: Vec<(Duration, id::Fingerprint)>,
-    /// Prefill tokens a second, microseconds a token.
+    /// Since when the backend server has refused connections.
+    unreachable_since: Option<Duration>,
+    /// Fingerprints of runs that were lost before it was known whether the backend server died.
+    /// Up to the given time they are included in the report of a crash.
+    lost_runs: Vec<(Duration, id::Fingerprint)>,
+    /// Prefill tokens per second, microseconds per output token.
     speed: (u64, u64),
 }
 
 impl Ledger {
-    /// The ledger of this life of the sidecar, with nothing in it.
-    pub fn new(life: id::Incarnation, max_tombstones: usize) -> Self {
+    /// An empty ledger for this incarnation of the sidecar.
+    pub fn new(incarnation: id::Incarnation, max_tombstones: usize) -> Self {
         Self {
-            life,
+            incarnation,
             backend: None,
-            valid: Duration::ZERO,
-            dead: None,
+            valid_until: Duration::ZERO,
+            last_dead: None,
             draining: false,
-            left: None,
+            leaving_since: None,
             records: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            kept_responses: BTreeMap::new(),
             tombstones: tombstone::Tombstones::new(max_tombstones),
             orphans: BTreeMap::new(),
-            ended: BTreeSet::new(),
-            asked: Vec::new(),
-            listed: false,
+            ended_orphans: BTreeSet::new(),
+            pending_queries: Vec::new(),
+            has_list: false,
             list_due: Duration::ZERO,
-            refused: None,
-            cut: Vec::new(),
+            unreachable_since: None,
+            lost_runs: Vec::new(),
             speed: (0, 0),
         }
     }
 
-    /// Takes an event.
+    /// Applies an event and returns the actions to perform.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.tombstones.tick(now);
@@ -316,20 +317,20 @@
             Event::Announced(backend) => self.announced(now, backend, &mut out),
             Event::Measured(prefill, token) => self.speed = (prefill, token),
             Event::Offer(stream, offer) => self.offer(now, stream, &offer, &mut out),
-            Event::BodyReceived(attempt) => self.filled(now, attempt, &mut out),
+            Event::BodyReceived(attempt) => self.body_received(now, attempt, &mut out),
             Event::Call(stream, call) => self.call(now, stream, call, &mut out),
             Event::Closed(stream) => self.closed(now, stream, &mut out),
             Event::FirstOutput(attempt) => {
                 if let Some(record) = self.records.get_mut(&attempt) {
-                    record.begun = true;
+                    record.prefilled = true;
                 }
-                self.refused = None;
+                self.unreachable_since = None;
             }
             Event::Held(attempt) => self.held(attempt),
             Event::Rejected(attempt, cause) => self.rejected(now, attempt, cause, &mut out),
             Event::Ended(reply) => self.ended(now, reply, &mut out),
-            Event::Disconnected(attempt) => self.cut(now, attempt, &mut out),
-            Event::NotFound(attempt) => self.vanished(now, attempt, &mut out),
+            Event::Disconnected(attempt) => self.disconnected(now, attempt, &mut out),
+            Event::NotFound(attempt) => self.not_found(now, attempt, &mut out),
             Event::Stopped(run) => self.stopped(now, &run),
             Event::Unreachable => self.unreachable(now, &mut out),
             Event::List {
@@ -337,7 +338,7 @@
                 runs,
                 segments,
             } => self.list(now, incarnation, &runs, &segments, &mut out),
-            Event::CrashReported => self.reported(now, &mut out),
+            Event::CrashReported => self.crash_reported(now, &mut out),
             Event::Drain => {
                 if !self.draining {
                     self.draining = true;
@@ -345,11 +346,11 @@
                 }
             }
         }
-        self.left = self.leaving().then(|| self.left.unwrap_or(now));
+        self.leaving_since = self.leaving().then(|| self.leaving_since.unwrap_or(now));
         out
     }
 
-    /// The exact load.
+    /// The exact load, from reservations and runs.
     pub fn load(&self) -> member::Load {
         let capacity = self.backend.as_ref().map(|backend| backend.capacity);
         let capacity = capacity.unwrap_or_default();
@@ -363,17 +364,17 @@
         };
         for record in self.records.values() {
             load.used_tokens += record.cost;
-            if !record.has_slot() {
+            if !record.takes_slot() {
                 continue;
             }
             match record.phase {
-                Phase::Filling | Phase::Reserved => load.reserved += 1,
+                Phase::ReceivingBody | Phase::Reserved => load.reserved += 1,
                 Phase::Running | Phase::Missing(_) | Phase::Failing(_) | Phase::Stopping(_) => {
                     load.running += 1;
                 }
             }
-            if record.begun
-                || record.waits()
+            if record.prefilled
+                || record.awaits_hold()
                 || matches!(record.phase, Phase::Failing(_) | Phase::Stopping(_))
             {
                 continue;
@@ -391,29 +392,31 @@
         load
     }
 
-    /// The backend server, while its announcement is valid and it takes connections.
+    /// The backend server, while its announcement is valid and it accepts connections.
     pub fn present(&self, now: Duration) -> Option<&Backend> {
         self.backend.as_ref().filter(|backend| {
-            now < self.valid && self.refused.is_none() && self.dead != Some(backend.incarnation)
+            now < self.valid_until
+                && self.unreachable_since.is_none()
+                && self.last_dead != Some(backend.incarnation)
         })
     }
 
-    /// Whether it gets no new work.
+    /// Whether no new work is admitted.
     pub fn leaving(&self) -> bool {
         self.draining || self.backend.as_ref().is_some_and(|backend| backend.leaving)
     }
 
-    /// Attempts in progress, those included whose answer an entry has still to take.
+    /// Number of attempts in progress, those being stopped included.
     pub fn in_progress(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether anything of an attempt is held here.
+    /// Whether an attempt is in progress or its response is kept.
     pub fn contains(&self, attempt: id::Attempt) -> bool {
-        self.records.contains_key(&attempt) || self.kept.contains_key(&attempt)
+        self.records.contains_key(&attempt) || self.kept_responses.contains_key(&attempt)
     }
 
-    /// Tombstones, for metrics.
+    /// Number of tombstones, for metrics.
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
@@ -424,26 +427,26 @@
             .is_some_and(|backend| backend.kind == member::Kind::Plain)
     }
 
-    /// Whether a tombstone can be set for one more attempt.
+    /// Whether there is a tombstone left for one more attempt.
     fn has_capacity(&self) -> bool {
         self.tombstones.has_capacity(self.records.len())
     }
 
-    /// Ends an attempt that was in progress: its room is free, its fate is remembered.
-    fn bury(&mut self, attempt: id::Attempt, ran: Ran) -> Option<Record> {
+    /// Removes an attempt that was in progress: frees its reservation and leaves a tombstone.
+    fn remove(&mut self, attempt: id::Attempt, ran: Ran) -> Option<Record> {
         let record = self.records.remove(&attempt)?;
         self.tombstones.insert(attempt, ran);
         Some(record)
     }
 
-    /// Ends an attempt that was started, and keeps its answer for queries.
+    /// Removes an attempt that was started, and keeps its response for queries.
     fn finish(&mut self, now: Duration, attempt: id::Attempt, ran: Ran) -> Option<Record> {
-        let record = self.bury(attempt, ran)?;
-        self.kept.insert(attempt, now + KEEP);
+        let record = self.remove(attempt, ran)?;
+        self.kept_responses.insert(attempt, now + RESPONSE_TTL);
         Some(record)
     }
 
-    fn refusal(&self, attempt: id::Attempt, cause: Cause, message: &str) -> run::Reply {
+    fn rejection(&self, attempt: id::Attempt, cause: Cause, message: &str) -> run::Reply {
         let retry = CAPACITY_RETRY_AFTER.as_millis() as u64;
         run::Reply::Refused {
             attempt,
@@ -453,8 +456,8 @@
     }
 }
 
-/// The final word on an attempt that failed.
-fn failed(attempt: id::Attempt, cause: Cause, ran: Ran, message: &str) -> run::Reply {
+/// The final reply of an attempt that failed.
+fn failure_reply(attempt: id::Attempt, cause: Cause, ran: Ran, message: &str) -> run::Reply {
     let retry = (ran == Ran::NotRun).then_some(CAPACITY_RETRY_AFTER.as_millis() as u64);
     run::Reply::Failed {
         attempt,
@@ -467,8 +470,8 @@
     }
 }
 
-/// The attempt that a run's id names, if it is one of ours.
-fn parse(run: &str) -> Option<id::Attempt> {
+/// The attempt that a run's id names; `None` if the id has another format.
+fn parse_run(run: &str) -> Option<id::Attempt> {
     let (request, number) = run.split_once('.')?;
     Some(id::Attempt {
         request: id::Request(u128::from_str_radix(request, 16).ok()?),
--- a/src/sidecar/ledger/call.rs
+++ b/src/sidecar/ledger/call.rs
@@ -1,16 +1,16 @@
-//! What entries call.
+//! Calls of entries.
 
 use std::time::Duration;
 
 use super::Action;
-use super::Asked;
 use super::LEAVING_GRACE;
 use super::Ledger;
-use super::MAX_LIMIT;
+use super::MAX_TIME_LIMIT;
 use super::Phase;
+use super::Query;
 use super::Record;
 use super::Stream;
-use super::failed;
+use super::failure_reply;
 use super::segment;
 use crate::wire::id;
 use crate::wire::outcome::Cause;
@@ -26,45 +26,46 @@
         out: &mut Vec<Action>,
     ) {
         let attempt = offer.attempt;
-        if offer.sidecar != self.life {
-            // Nothing to remember: an offer to another life is refused whenever it comes.
-            let reply = self.refusal(attempt, Cause::NoServer, "another life of the sidecar");
+        if offer.sidecar != self.incarnation {
+            // Needs no tombstone: offers to another incarnation are always rejected.
+            let reply = self.rejection(attempt, Cause::NoServer, "another life of the sidecar");
             return out.push(Action::Reply(stream, reply));
         }
-        if self.records.contains_key(&attempt) || self.kept.contains_key(&attempt) {
-            // Sent twice: the first one counts.
+        if self.records.contains_key(&attempt) || self.kept_responses.contains_key(&attempt) {
+            // A duplicate.
             return;
         }
         if let Some(ran) = self.tombstones.outcome(attempt) {
-            let reply = self.buried(attempt, ran);
+            let reply = self.tombstone_reply(attempt, ran);
             return out.push(Action::Reply(stream, reply));
         }
         if !self.has_capacity() {
-            // Without a tombstone a late copy of a folded offer might still run, so nothing is
-            // said of it; one that waits for its start never gets it.
+            // Without a tombstone, a late copy of an offer that starts by itself might still run,
+            // so "not run" cannot be promised and no reply is sent. An offer that needs a start
+            // call can be rejected: its entry will not send the call.
             if !offer.start {
-                let reply = self.refusal(attempt, Cause::Busy, "too many attempts of late");
+                let reply = self.rejection(attempt, Cause::Busy, "too many attempts of late");
                 out.push(Action::Reply(stream, reply));
             }
             return;
         }
-        let covered = self.cover(now, offer);
-        let admitted = covered.map_or_else(|| self.admit(now, offer), Ok);
+        let final_tokens = self.take_final_tokens(now, offer);
+        let admitted = final_tokens.map_or_else(|| self.admit(now, offer), Ok);
         match admitted {
             Ok(cost) => {
                 let mut record = Self::record(now, stream, offer, cost);
-                if covered.is_some() {
-                    record.role = segment::Role::Covered;
+                if final_tokens.is_some() {
+                    record.role = segment::Role::Final;
                 }
                 self.records.insert(attempt, record);
                 if offer.body_len == 0 {
-                    self.filled(now, attempt, out);
+                    self.body_received(now, attempt, out);
                 }
             }
             Err((cause, message)) => {
                 self.tombstones.insert(attempt, Ran::NotRun);
                 out.push(Action::Discard(attempt));
-                let reply = self.refusal(attempt, cause, message);
+                let reply = self.rejection(attempt, cause, message);
                 out.push(Action::Reply(stream, reply));
             }
         }
@@ -94,9 +95,9 @@
         {
             return Err((Cause::NoServer, "the model is not loaded"));
         }
-        let other = Some(offer.fingerprint);
+        let own = Some(offer.fingerprint);
         let mut records = self.records.values();
-        if offer.suspect && records.any(|it| it.suspect && it.fingerprint != other) {
+        if offer.suspect && records.any(|record| record.suspect && record.fingerprint != own) {
             return Err((Cause::Busy, "another suspect is on the backend server"));
         }
         let cost = backend.capacity.cost(&offer.work);
@@ -107,7 +108,7 @@
     }
 
     fn record(now: Duration, stream: Stream, offer: &run::Offer, cost: u64) -> Record {
-        let limit = Duration::from_millis(offer.remaining_ms).min(MAX_LIMIT);
+        let limit = Duration::from_millis(offer.remaining_ms).min(MAX_TIME_LIMIT);
         let (prompt_tokens, first) = match &offer.work {
             run::Work::Prompt {
                 prompt_tokens,
@@ -125,23 +126,28 @@
             repeatable: offer.repeatable,
             start: offer.start,
             prompt_tokens,
-            first,
+            first_token: first,
             cost,
             deadline: now + limit,
-            phase: Phase::Filling,
+            phase: Phase::ReceivingBody,
             stream: Some(stream),
-            silent: None,
-            resume: None,
-            begun: false,
+            detached_at: None,
+            resume_at: None,
+            prefilled: false,
             role: segment::Role::of(&offer.work),
         }
     }
 
-    pub(super) fn filled(&mut self, now: Duration, attempt: id::Attempt, out: &mut Vec<Action>) {
+    pub(super) fn body_received(
+        &mut self,
+        now: Duration,
+        attempt: id::Attempt,
+        out: &mut Vec<Action>,
+    ) {
         let Some(record) = self.records.get_mut(&attempt) else {
             return;
         };
-        if record.phase != Phase::Filling {
+        if record.phase != Phase::ReceivingBody {
             return;
         }
         record.phase = Phase::Reserved;
@@ -153,15 +159,17 @@
     }
 
     fn start(&mut self, now: Duration, attempt: id::Attempt, out: &mut Vec<Action>) {
-        let is_late = self.left.is_some_and(|left| now >= left + LEAVING_GRACE);
+        let is_late = self
+            .leaving_since
+            .is_some_and(|since| now >= since + LEAVING_GRACE);
         let Some(record) = self.records.get_mut(&attempt) else {
             return;
         };
         if record.phase != Phase::Reserved || record.role.is_segment() {
             return;
         }
-        // What a segment covers was in progress before.
-        if is_late && record.role != segment::Role::Covered {
+        // A run in capacity that a segment reserved was admitted with that segment.
+        if is_late && record.role != segment::Role::Final {
             let stream = record.stream;
             let reply = self.withdraw(attempt, Cause::Leaving, "left before its start", out);
             out.extend(stream.map(|stream| Action::Reply(stream, reply)));
@@ -171,7 +179,7 @@
         out.push(Action::Run(attempt));
         if let Some(stream) = record.stream {
             out.push(Action::Reply(stream, run::Reply::Started(attempt)));
-            out.push(Action::Attach(stream, attempt, record.first));
+            out.push(Action::Attach(stream, attempt, record.first_token));
         }
     }
 
@@ -194,12 +202,12 @@
                 offset,
                 sidecar,
             } => {
-                let asked = Asked {
+                let query = Query {
                     stream,
                     attempt,
                     offset,
                 };
-                self.query(now, asked, sidecar, out);
+                self.query(now, query, sidecar, out);
             }
         }
     }
@@ -211,11 +219,11 @@
         attempt: id::Attempt,
         out: &mut Vec<Action>,
     ) {
-        if self.records.contains_key(&attempt) || self.kept.contains_key(&attempt) {
+        if self.records.contains_key(&attempt) || self.kept_responses.contains_key(&attempt) {
             return self.start(now, attempt, out);
         }
         let reply = match self.tombstones.outcome(attempt) {
-            Some(ran) => self.buried(attempt, ran),
+            Some(ran) => self.tombstone_reply(attempt, ran),
             None => run::Reply::Unknown(attempt),
         };
         out.push(Action::Reply(stream, reply));
@@ -229,10 +237,10 @@
         out: &mut Vec<Action>,
     ) {
         let Some(record) = self.records.get(&attempt) else {
-            if self.kept.contains_key(&attempt) {
+            if self.kept_responses.contains_key(&attempt) {
                 return;
             }
-            // A late offer of it must not run. Of an earlier life nothing is known.
+            // A late offer of it must not run. An earlier incarnation may have run it.
             if self.has_capacity() {
                 self.tombstones.insert(attempt, Ran::MayHaveRun);
             }
@@ -242,7 +250,7 @@
             return;
         };
         match record.phase {
-            Phase::Filling | Phase::Reserved => {
+            Phase::ReceivingBody | Phase::Reserved => {
                 let reply =
                     self.withdraw(attempt, Cause::Cancelled, "withdrawn before its start", out);
                 out.push(Action::Reply(stream, reply));
@@ -254,7 +262,7 @@
         }
     }
 
-    /// Takes back a reservation that was not started.
+    /// Cancels a reservation that was not started.
     pub(super) fn withdraw(
         &mut self,
         attempt: id::Attempt,
@@ -262,12 +270,13 @@
         message: &str,
         out: &mut Vec<Action>,
     ) -> run::Reply {
-        self.bury(attempt, Ran::NotRun);
+        self.remove(attempt, Ran::NotRun);
         out.push(Action::Discard(attempt));
-        self.refusal(attempt, cause, message)
+        self.rejection(attempt, cause, message)
     }
 
-    /// Stops a run: the final word at once, its room free when the backend server says so.
+    /// Stops a run. The final reply is sent at once; its reservation is freed when the backend
+    /// server confirms the stop.
     pub(super) fn stop(
         &mut self,
         now: Duration,
@@ -280,126 +289,135 @@
             return;
         };
         if matches!(record.phase, Phase::Failing(_)) {
-            // The life of the backend server that it ran in is over: nothing is left to stop.
+            // The backend server that ran it is dead: nothing is left to stop.
             self.finish(now, attempt, Ran::MayHaveRun);
-            let reply = failed(attempt, cause, Ran::MayHaveRun, message);
+            let reply = failure_reply(attempt, cause, Ran::MayHaveRun, message);
             return out.push(Action::End(reply));
         }
-        record.phase = Phase::Stopping(now + super::RETRY_PAUSE);
+        record.phase = Phase::Stopping(now + super::RETRY_DELAY);
         record.stream = None;
-        let halt = record.halt(attempt);
-        out.push(Action::End(failed(
+        let stop = record.stop_action(attempt);
+        out.push(Action::End(failure_reply(
             attempt,
             cause,
             Ran::MayHaveRun,
             message,
         )));
-        out.push(halt);
+        out.push(stop);
     }
 
-    fn query(&mut self, now: Duration, asked: Asked, life: id::Incarnation, out: &mut Vec<Action>) {
-        let Asked {
+    fn query(
+        &mut self,
+        now: Duration,
+        query: Query,
+        sidecar: id::Incarnation,
+        out: &mut Vec<Action>,
+    ) {
+        let Query {
             stream,
             attempt,
             offset,
-        } = asked;
+        } = query;
         if let Some(record) = self.records.get_mut(&attempt) {
             match record.phase {
-                Phase::Filling | Phase::Reserved => {
+                Phase::ReceivingBody | Phase::Reserved => {
                     let reply =
                         self.withdraw(attempt, Cause::Tombstoned, "withdrawn by a query", out);
                     out.push(Action::Reply(stream, reply));
                 }
                 Phase::Running | Phase::Missing(_) | Phase::Failing(_) => {
                     record.stream = Some(stream);
-                    record.silent = None;
+                    record.detached_at = None;
                     out.push(Action::Reply(stream, run::Reply::Started(attempt)));
                     out.push(Action::Attach(stream, attempt, offset));
                 }
                 Phase::Stopping(_) => {
                     let cause = Cause::Cancelled;
-                    let reply = failed(attempt, cause, Ran::MayHaveRun, "it is being stopped");
+                    let reply =
+                        failure_reply(attempt, cause, Ran::MayHaveRun, "it is being stopped");
                     out.push(Action::Reply(stream, reply));
                 }
             }
             return;
         }
-        if self.kept.contains_key(&attempt) {
+        if self.kept_responses.contains_key(&attempt) {
             return out.push(Action::Attach(stream, attempt, offset));
         }
         if let Some(ran) = self.tombstones.outcome(attempt) {
-            let reply = self.buried(attempt, ran);
+            let reply = self.tombstone_reply(attempt, ran);
             return out.push(Action::Reply(stream, reply));
         }
-        if life == self.life {
+        if sidecar == self.incarnation {
             let has_capacity = self.has_capacity();
             let reply = if has_capacity {
                 self.tombstones.insert(attempt, Ran::NotRun);
-                self.refusal(attempt, Cause::Tombstoned, "never offered, and now never")
+                self.rejection(attempt, Cause::Tombstoned, "never offered, and now never")
             } else {
                 run::Reply::Unknown(attempt)
             };
             return out.push(Action::Reply(stream, reply));
         }
-        self.ask_engine(now, asked, out);
+        self.query_engine(now, query, out);
     }
 
-    /// A query of an attempt of an earlier life: the engine may still have it.
-    fn ask_engine(&mut self, now: Duration, asked: Asked, out: &mut Vec<Action>) {
+    /// A query for an attempt of an earlier incarnation: the engine may still have its run.
+    fn query_engine(&mut self, now: Duration, query: Query, out: &mut Vec<Action>) {
         if self.is_plain() {
             return out.push(Action::Reply(
-                asked.stream,
-                run::Reply::Unknown(asked.attempt),
+                query.stream,
+                run::Reply::Unknown(query.attempt),
             ));
         }
-        if !self.listed {
-            self.asked.push(asked);
+        if !self.has_list {
+            self.pending_queries.push(query);
             return out.push(Action::List);
         }
-        self.take_over(now, asked, out);
+        self.take_over(now, query, out);
     }
 
-    /// Takes over a run of an earlier life of the sidecar, if the engine still has it.
-    pub(super) fn take_over(&mut self, now: Duration, asked: Asked, out: &mut Vec<Action>) {
-        let run = asked.attempt.to_string();
+    /// Takes over a run of an earlier incarnation of the sidecar, if the engine still has it.
+    pub(super) fn take_over(&mut self, now: Duration, query: Query, out: &mut Vec<Action>) {
+        let run = query.attempt.to_string();
         let orphan = self.orphans.remove(&run).map(|(_, memory)| memory);
-        let ended = self.ended.remove(&run).then_some(0);
+        let ended = self.ended_orphans.remove(&run).then_some(0);
         let Some(memory) = orphan.or(ended) else {
-            let reply = run::Reply::Unknown(asked.attempt);
-            return out.push(Action::Reply(asked.stream, reply));
+            let reply = run::Reply::Unknown(query.attempt);
+            return out.push(Action::Reply(query.stream, reply));
         };
         let record = Record {
             fingerprint: None,
             suspect: false,
             class: run::Class::Long,
             priority: 0,
-            // Whether it may be cancelled with its entry silent is not known: its deadline stands
-            // in the engine.
+            // Not known, so it is not cancelled when its stream closes. The engine enforces the
+            // deadline.
             repeatable: false,
             start: false,
             prompt_tokens: 0,
-            first: asked.offset,
+            first_token: query.offset,
             cost: memory,
-            deadline: now + MAX_LIMIT,
+            deadline: now + MAX_TIME_LIMIT,
             phase: Phase::Running,
-            stream: Some(asked.stream),
-            silent: None,
-            resume: None,
-            begun: true,
+            stream: Some(query.stream),
+            detached_at: None,
+            resume_at: None,
+            prefilled: true,
             role: segment::Role::Run,
         };
-        self.records.insert(asked.attempt, record);
-        out.push(Action::Resume(asked.attempt, asked.offset));
-        let started = run::Reply::Started(asked.attempt);
-        out.push(Action::Reply(asked.stream, started));
-        out.push(Action::Attach(asked.stream, asked.attempt, asked.offset));
+        self.records.insert(query.attempt, record);
+        out.push(Action::Resume(query.attempt, query.offset));
+        let started = run::Reply::Started(query.attempt);
+        out.push(Action::Reply(query.stream, started));
+        out.push(Action::Attach(query.stream, query.attempt, query.offset));
     }
 
-    /// The answer to whoever speaks of an attempt that is over.
-    pub(super) fn buried(&self, attempt: id::Attempt, ran: Ran) -> run::Reply {
+    /// The reply to a call for an attempt that has a tombstone.
+    pub(super) fn tombstone_reply(&self, attempt: id::Attempt, ran: Ran) -> run::Reply {
         match ran {
-            Ran::NotRun => self.refusal(attempt, Cause::Tombstoned, "refused or withdrawn before"),
-            Ran::Ran | Ran::MayHaveRun => failed(
+            Ran::NotRun => {
+                self.rejection(attempt, Cause::Tombstoned, "refused or withdrawn before")
+            }
+            Ran::Ran | Ran::MayHaveRun => failure_reply(
                 attempt,
                 Cause::ServerLost,
                 ran,
@@ -409,21 +427,21 @@
     }
 
     pub(super) fn closed(&mut self, now: Duration, stream: Stream, out: &mut Vec<Action>) {
-        self.asked.retain(|asked| asked.stream != stream);
-        let mine: Vec<id::Attempt> = self
+        self.pending_queries.retain(|query| query.stream != stream);
+        let attached: Vec<id::Attempt> = self
             .records
             .iter()
             .filter(|(_, record)| record.stream == Some(stream))
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in mine {
+        for attempt in attached {
             let Some(record) = self.records.get_mut(&attempt) else {
                 continue;
             };
             record.stream = None;
-            record.silent = Some(now);
-            if matches!(record.phase, Phase::Filling | Phase::Reserved) {
-                self.bury(attempt, Ran::NotRun);
+            record.detached_at = Some(now);
+            if matches!(record.phase, Phase::ReceivingBody | Phase::Reserved) {
+                self.remove(attempt, Ran::NotRun);
                 out.push(Action::Discard(attempt));
             }
         }
--- a/src/sidecar/ledger/segment.rs
+++ b/src/sidecar/ledger/segment.rs
@@ -1,8 +1,9 @@
 //! Segments of prompts that are larger than one engine.
 //!
 //! A segment is an attempt that is reserved like a run, prefilled on [`run::Call::Hold`], and then
-//! held: its memory is taken until it is cancelled, its deadline passes, or its entry stays
-//! silent. The segment of the engine that answers keeps room for the final run besides.
+//! held: its memory stays in use until it is cancelled, its deadline passes, or its stream stays
+//! closed for too long. The segment on the engine that generates the response also reserves
+//! memory for the final run.
 
 use std::time::Duration;
 
@@ -16,36 +17,35 @@
 use crate::wire::outcome::Cause;
 use crate::wire::run;
 
-/// What an attempt is to a prompt larger than one engine.
+/// Part of an attempt in a prompt that is larger than one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Nothing: an ordinary run, or one that found room for itself.
+    /// None, or a final run with a reservation of its own.
     Run,
-    /// The final run, in the room that a segment kept for it.
-    Covered,
-    /// A segment.
+    /// The final run, in memory that a segment reserved for it.
+    Final,
+    /// A segment of the prompt.
     Segment {
-        /// Tokens kept for the final run. Invariant: part of the record's cost; 0 once the final
-        /// run has them.
-        room: u64,
+        /// Tokens reserved for the final run. Invariant: included in the record's cost; 0 once the
+        /// final run has taken them.
+        final_tokens: u64,
         /// Whether the engine holds it.
         held: bool,
     },
 }
 
 impl Role {
-    /// Of the work of an offer.
+    /// The role of an offer's work.
     pub fn of(work: &run::Work) -> Self {
         match work {
             run::Work::Segment { room, .. } => Self::Segment {
-                room: *room,
+                final_tokens: *room,
                 held: false,
             },
             run::Work::Prompt { .. } | run::Work::Http { .. } => Self::Run,
         }
     }
 
-    /// Whether it is a segment.
     pub fn is_segment(self) -> bool {
         matches!(self, Self::Segment { .. })
     }
@@ -57,24 +57,25 @@
         matches!(self.role, Role::Segment { held: true, .. })
     }
 
-    /// Whether it takes a slot: a segment that is held needs none, but for the final run's.
-    pub(super) fn has_slot(&self) -> bool {
+    /// Whether it takes a slot: a held segment does so only while it reserves the final run's.
+    pub(super) fn takes_slot(&self) -> bool {
         !matches!(
             self.role,
             Role::Segment {
-                room: 0,
+                final_tokens: 0,
                 held: true
             }
         )
     }
 
-    /// Whether it waits for segments on other engines: no prefill of it is near.
-    pub(super) fn waits(&self) -> bool {
-        self.role.is_segment() && matches!(self.phase, Phase::Filling | Phase::Reserved)
+    /// Whether it is a segment whose prefill was not requested yet, because segments before it
+    /// are still being prefilled on other engines.
+    pub(super) fn awaits_hold(&self) -> bool {
+        self.role.is_segment() && matches!(self.phase, Phase::ReceivingBody | Phase::Reserved)
     }
 
-    /// How it is stopped.
-    pub(super) fn halt(&self, attempt: id::Attempt) -> Action {
+    /// The action that stops it.
+    pub(super) fn stop_action(&self, attempt: id::Attempt) -> Action {
         if self.role.is_segment() {
             Action::Release(attempt)
         } else {
@@ -93,10 +94,12 @@
         context: Vec<run::Context>,
         out: &mut Vec<Action>,
     ) {
-        let is_late = self.left.is_some_and(|left| now >= left + LEAVING_GRACE);
+        let is_late = self
+            .leaving_since
+            .is_some_and(|since| now >= since + LEAVING_GRACE);
         let Some(record) = self.records.get_mut(&attempt) else {
             let reply = match self.tombstones.outcome(attempt) {
-                Some(ran) => self.buried(attempt, ran),
+                Some(ran) => self.tombstone_reply(attempt, ran),
                 None => run::Reply::Unknown(attempt),
             };
             return out.push(Action::Reply(stream, reply));
@@ -117,19 +120,19 @@
 
     /// The engine holds a segment.
     pub(super) fn held(&mut self, attempt: id::Attempt) {
-        self.refused = None;
+        self.unreachable_since = None;
         if let Some(record) = self.records.get_mut(&attempt) {
-            record.begun = true;
+            record.prefilled = true;
             if let Role::Segment { held, .. } = &mut record.role {
                 *held = true;
             }
         }
     }
 
-    /// Tokens that a segment of the same request keeps for a final run, if they are enough; they
-    /// are the run's from here on. What is covered was admitted with its segment, so neither a
-    /// drain nor others in the slots stop it.
-    pub(super) fn cover(&mut self, now: Duration, offer: &run::Offer) -> Option<u64> {
+    /// Moves the tokens that a segment of the same request reserved for its final run to that run,
+    /// if they suffice. The run was admitted with its segment, so it is accepted even in a drain
+    /// or with all slots taken.
+    pub(super) fn take_final_tokens(&mut self, now: Duration, offer: &run::Offer) -> Option<u64> {
         let run::Work::Prompt { context, .. } = &offer.work else {
             return None;
         };
@@ -143,12 +146,15 @@
             if attempt.request != request || record.phase != Phase::Running {
                 continue;
             }
-            if let Role::Segment { room, held: true } = &mut record.role
-                && *room >= cost
+            if let Role::Segment {
+                final_tokens,
+                held: true,
+            } = &mut record.role
+                && *final_tokens >= cost
             {
-                let room = std::mem::take(room);
-                record.cost = record.cost.saturating_sub(room);
-                return Some(room);
+                let tokens = std::mem::take(final_tokens);
+                record.cost = record.cost.saturating_sub(tokens);
+                return Some(tokens);
             }
         }
         None
