--- a/src/edge/sidecar.rs
+++ b/src/edge/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar role: the one way to its backend server, by the decisions of [`crate::sidecar`].
+//! The sidecar role: the only path to its backend server. [`crate::sidecar`] makes the decisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 /// Settings of the sidecar role.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Entries to announce to, besides those that they tell of.
+    /// Entries to announce to, besides those learned from them and from control.
     pub entries: Vec<SocketAddr>,
     /// Key sent to the backend server, and expected from it when it announces itself.
     pub backend_key: String,
@@ -44,33 +44,32 @@
     pub server: String,
     /// Service that it belongs to.
     pub service: String,
-    /// What it is.
     pub kind: member::Kind,
-    /// Where it is reached.
+    /// Base URL of its API.
     pub url: String,
-    /// Its life.
+    /// Changes with each start of the backend server.
     pub incarnation: id::Incarnation,
     /// Models loaded.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Runs that it takes at once.
+    /// Concurrent runs.
     pub slots: u32,
     /// Its KV memory in tokens.
     #[serde(default)]
     pub memory_tokens: u64,
     /// How long this announcement is valid, in milliseconds.
     pub ttl_ms: u64,
-    /// Asks for a drain.
+    /// Whether it asks for a drain.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Answer to an announcement.
+/// Response to an announcement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Presence {
     /// Attempts in progress.
     pub in_progress: u32,
-    /// Whether it gets no new work.
+    /// Whether no new work is admitted.
     pub leaving: bool,
 }
 
@@ -79,15 +78,15 @@
     core: core::Handle,
     orders: order::Orders,
     /// Number of the next stream.
-    stream: AtomicU64,
-    /// Streams that still bring an answer to an entry.
+    next_stream: AtomicU64,
+    /// Streams to entries that are still open.
     open: Arc<AtomicUsize>,
 }
 
-/// Counts an open stream for as long as it lives.
-struct Open(Arc<AtomicUsize>);
+/// Counts a stream as open until it is dropped.
+struct OpenStream(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenStream {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -112,35 +111,35 @@
         Arc::new(Self {
             core,
             orders,
-            stream: AtomicU64::new(1),
+            next_stream: AtomicU64::new(1),
             open: Arc::default(),
         })
     }
 
-    /// Takes the announcement of the backend server.
+    /// Handles an announcement of the backend server.
     pub fn announce(&self, announcement: Announcement) -> Presence {
-        let asked = announcement.leaving;
-        let told = core::Message::Announced(Box::new(announcement));
-        let taken = self.core.try_tell(told);
+        let drain_requested = announcement.leaving;
+        let message = core::Message::Announced(Box::new(announcement));
+        let accepted = self.core.try_send(message);
         let status = self.core.status();
         let in_progress = status.in_progress as u32;
-        // Until the ledger refuses new work, an attempt may be on its way in.
-        let settled = status.leaving || !asked;
+        // Until the ledger rejects new work, another attempt may still be admitted.
+        let settled = status.leaving || !drain_requested;
         Presence {
             in_progress: if settled {
                 in_progress
             } else {
                 in_progress.max(1)
             },
-            leaving: status.leaving || (asked && taken),
+            leaving: status.leaving || (drain_requested && accepted),
         }
     }
 
     /// Serves one attempt's stream.
     pub async fn run(&self, tx: link::Sender<run::Reply>, rx: link::Receiver<run::Call>) {
-        let number = self.stream.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_stream.fetch_add(1, Ordering::Relaxed);
         self.open.fetch_add(1, Ordering::AcqRel);
-        let _open = Open(Arc::clone(&self.open));
+        let _open = OpenStream(Arc::clone(&self.open));
         stream::serve(&self.core, number, tx, rx).await;
     }
 
@@ -150,7 +149,7 @@
         self.orders.pass(&status, order).await
     }
 
-    /// Attempts in progress, and answers that an entry has still to take.
+    /// Attempts in progress or streams to entries, whichever is more.
     pub fn in_progress(&self) -> usize {
         let open = self.open.load(Ordering::Acquire);
         self.core.status().in_progress.max(open)
--- a/src/edge/sidecar/announce.rs
+++ b/src/edge/sidecar/announce.rs
@@ -1,4 +1,5 @@
-//! Tells all entries, each period and at once when it matters, that the backend server is there.
+//! Announces the backend server to all entries: periodically, and without delay after an important
+//! change.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -18,44 +19,43 @@
 use crate::wire::member;
 use crate::wire::rpc;
 
-/// Time between two announcements while the load changes.
+/// Interval of announcements while the load changes, and of reads of the engine's prefix cache.
 const PERIOD: Duration = Duration::from_millis(250);
 
-/// Time between two announcements that say the same. Two may be lost before the lease ends.
-const RENEW: Duration = Duration::from_millis(1_000);
+/// Interval of announcements without a change. Two may be lost before the lease expires.
+const RENEWAL_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// How long an announcement is valid at an entry.
 const LEASE: Duration = Duration::from_millis(3_000);
 
-/// Time for an entry to answer. Less than the lease, so a slow one is told again in time.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of an announcement. Shorter than the lease, so that there is time for another try.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Reports of the prefix cache that are kept for entries that missed some.
-const REPORTS: usize = 256;
+/// Prefix cache reports that are kept for entries that missed some.
+const MAX_REPORTS: usize = 256;
 
-/// What is announced, to whom.
 struct Announcer {
     node: Arc<node::Node>,
     core: core::Handle,
-    first: Vec<SocketAddr>,
+    configured: Vec<SocketAddr>,
     state: Mutex<State>,
 }
 
 #[derive(Default)]
 struct State {
     seq: u64,
-    /// Entries learned from answers.
+    /// Entries learned from responses.
     learned: BTreeSet<SocketAddr>,
-    /// Entries that are being told. A slow one is not told twice at a time.
+    /// Entries with an announcement in progress, so that a slow one gets one at a time.
     busy: BTreeSet<SocketAddr>,
-    /// What each entry was told last, and when.
-    told: HashMap<SocketAddr, (Duration, Told)>,
-    news: News,
+    /// The last announcement that each entry accepted, and when it was sent.
+    announced: HashMap<SocketAddr, (Duration, Content)>,
+    cache: CacheReports,
 }
 
-/// What makes an announcement differ from the one before.
+/// The fields of an announcement whose change is announced before the renewal is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Told {
+struct Content {
     load: member::Load,
     leaving: bool,
     engine: id::Incarnation,
@@ -63,7 +63,7 @@
     cache: u64,
 }
 
-impl Told {
+impl Content {
     fn of(announce: &member::Announce) -> Self {
         Self {
             load: announce.load,
@@ -75,20 +75,20 @@
     }
 }
 
-/// News of the engine's prefix cache.
+/// Reports of changes in the engine's prefix cache.
 #[derive(Default)]
-struct News {
-    /// The life of the engine that they are of.
+struct CacheReports {
+    /// Incarnation of the engine that sent them.
     engine: Option<id::Incarnation>,
-    /// Invariant: in the order of their numbers.
+    /// Invariant: ascending by number.
     reports: VecDeque<member::Cache>,
-    /// The number that each entry expects next.
+    /// Number of the next event that each entry expects.
     cursors: HashMap<SocketAddr, u64>,
 }
 
-impl News {
-    /// Starts anew with another life of the engine.
-    fn follow(&mut self, engine: id::Incarnation) {
+impl CacheReports {
+    /// Drops all reports if they are from another incarnation of the engine.
+    fn reset_if_restarted(&mut self, engine: id::Incarnation) {
         if self.engine != Some(engine) {
             *self = Self {
                 engine: Some(engine),
@@ -97,22 +97,22 @@
         }
     }
 
-    /// The number after the last event known.
+    /// Number after the last event received.
     fn next(&self) -> u64 {
         self.reports.back().map_or(0, |report| report.next)
     }
 
-    fn take(&mut self, report: member::Cache) {
+    fn push(&mut self, report: member::Cache) {
         if report.next <= self.next() {
             return;
         }
         self.reports.push_back(report);
-        if self.reports.len() > REPORTS {
+        if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
         }
     }
 
-    /// What an entry is to learn next. One report never spans a gap.
+    /// The next report for an entry. A report never spans a gap in the numbers.
     fn report(&self, entry: SocketAddr) -> member::Cache {
         let cursor = self.cursors.get(&entry).copied().unwrap_or(0);
         let mut out = member::Cache {
@@ -126,7 +126,7 @@
                 out = report.clone();
             } else if report.first == out.next {
                 out.next = report.next;
-                // Within a report, what was dropped is gone: the later word counts.
+                // The later report wins: a hash is either held or dropped.
                 out.dropped.retain(|hash| !report.held.contains(hash));
                 out.held.retain(|hash| !report.dropped.contains(hash));
                 out.held.extend_from_slice(&report.held);
@@ -140,28 +140,33 @@
 }
 
 /// Announces until the process ends.
-pub async fn run(node: Arc<node::Node>, core: core::Handle, first: Vec<SocketAddr>, key: String) {
+pub async fn run(
+    node: Arc<node::Node>,
+    core: core::Handle,
+    configured: Vec<SocketAddr>,
+    key: String,
+) {
     let announcer = Arc::new(Announcer {
         node,
         core,
-        first,
+        configured,
         state: Mutex::default(),
     });
-    tokio::spawn(follow(Arc::clone(&announcer), key));
+    tokio::spawn(read_cache(Arc::clone(&announcer), key));
     loop {
         let entries = announcer.entries();
         announcer
             .lock()
-            .told
+            .announced
             .retain(|entry, _| entries.contains(entry));
         for entry in entries {
             if announcer.is_due(entry) && announcer.lock().busy.insert(entry) {
-                tokio::spawn(Arc::clone(&announcer).tell(entry));
+                tokio::spawn(Arc::clone(&announcer).announce_to(entry));
             }
         }
         tokio::select! {
             () = time::sleep(PERIOD) => {}
-            () = announcer.core.news() => {}
+            () = announcer.core.announce_requested() => {}
         }
     }
 }
@@ -171,44 +176,47 @@
         self.state.lock().expect("announcer lock")
     }
 
-    /// The entries of the settings, those learned, and those that control tells of.
+    /// Entries from the settings, from responses and from control.
     fn entries(&self) -> BTreeSet<SocketAddr> {
-        let mut entries: BTreeSet<SocketAddr> = self.first.iter().copied().collect();
-        entries.extend(addrs(&self.node.view()));
+        let mut entries: BTreeSet<SocketAddr> = self.configured.iter().copied().collect();
+        entries.extend(entry_addrs(&self.node.view()));
         entries.extend(&self.lock().learned);
         entries
     }
 
-    /// Whether an entry is to be told: something changed, or its lease is to be renewed.
+    /// Whether an announcement to an entry is due: a change, or a renewal of its lease.
     fn is_due(&self, entry: SocketAddr) -> bool {
         let Some(announce) = self.announce(entry) else {
             return false;
         };
-        match self.lock().told.get(&entry) {
-            Some((at, told)) => self.node.now() >= *at + RENEW || *told != Told::of(&announce),
+        match self.lock().announced.get(&entry) {
+            Some((at, content)) => {
+                self.node.now() >= *at + RENEWAL_PERIOD || *content != Content::of(&announce)
+            }
             None => true,
         }
     }
 
-    /// Tells one entry. Told again at once if what matters changed meanwhile.
-    async fn tell(self: Arc<Self>, entry: SocketAddr) {
-        let mut told = None;
+    /// Announces to one entry. Repeats at once if the leaving flag or the engine's incarnation
+    /// changed meanwhile.
+    async fn announce_to(self: Arc<Self>, entry: SocketAddr) {
+        let mut last = None;
         while let Some(announce) = self.announce(entry) {
-            let what = (announce.leaving, announce.engine);
-            if told == Some(what) {
+            let urgent = (announce.leaving, announce.engine);
+            if last == Some(urgent) {
                 break;
             }
-            told = Some(what);
+            last = Some(urgent);
             let next = announce.cache.next;
-            let said = Told::of(&announce);
+            let content = Content::of(&announce);
             let now = self.node.now();
-            let ask = rpc::Ask::Announce(Box::new(announce));
-            let answer = self.node.link(entry).ask(&ask, TIMEOUT).await;
-            let Ok(rpc::Answer::View(view)) = answer else {
+            let request = rpc::Ask::Announce(Box::new(announce));
+            let response = self.node.link(entry).ask(&request, ANNOUNCE_TIMEOUT).await;
+            let Ok(rpc::Answer::View(view)) = response else {
                 break;
             };
-            self.lock().told.insert(entry, (now, said));
-            self.learn(entry, next, what.1, view);
+            self.lock().announced.insert(entry, (now, content));
+            self.learn(entry, next, urgent.1, view);
         }
         self.lock().busy.remove(&entry);
     }
@@ -216,24 +224,24 @@
     fn learn(&self, entry: SocketAddr, next: u64, engine: id::Incarnation, view: rpc::View) {
         {
             let mut state = self.lock();
-            if state.news.engine == Some(engine) {
-                state.news.cursors.insert(entry, next);
+            if state.cache.engine == Some(engine) {
+                state.cache.cursors.insert(entry, next);
             }
-            state.learned = addrs(&view).collect();
+            state.learned = entry_addrs(&view).collect();
         }
-        // Entries relay control's word; a process that hears control itself keeps that.
+        // Entries relay control's view. A process that gets it from control itself keeps that one.
         if self.node.control().is_none() && self.node.entry().is_none() {
             self.node.set_view(view);
         }
     }
 
-    /// `None`: there is nothing to announce.
+    /// The announcement for an entry; `None` if there is no backend server to announce.
     fn announce(&self, entry: SocketAddr) -> Option<member::Announce> {
         let status = self.core.status();
         let announcement = status.announcement.as_ref()?;
         let mut state = self.lock();
         state.seq += 1;
-        state.news.follow(announcement.incarnation);
+        state.cache.reset_if_restarted(announcement.incarnation);
         let settings = self.node.settings();
         Some(member::Announce {
             server: announcement.server.clone(),
@@ -248,13 +256,13 @@
             leaving: status.leaving || status.absent,
             lease_ms: LEASE.as_millis() as u64,
             load: status.load,
-            cache: state.news.report(entry),
+            cache: state.cache.report(entry),
         })
     }
 }
 
-/// Reads the engine's cache news each period.
-async fn follow(announcer: Arc<Announcer>, key: String) {
+/// Reads the changes of the engine's prefix cache each [`PERIOD`].
+async fn read_cache(announcer: Arc<Announcer>, key: String) {
     let client = engine::client();
     loop {
         time::sleep(PERIOD).await;
@@ -272,19 +280,19 @@
         };
         let after = {
             let mut state = announcer.lock();
-            state.news.follow(announcement.incarnation);
-            state.news.next()
+            state.cache.reset_if_restarted(announcement.incarnation);
+            state.cache.next()
         };
         if let Some(report) = engine.cache(after).await {
             let mut state = announcer.lock();
-            if state.news.engine == Some(announcement.incarnation) {
-                state.news.take(report);
+            if state.cache.engine == Some(announcement.incarnation) {
+                state.cache.push(report);
             }
         }
     }
 }
 
-fn addrs(view: &rpc::View) -> impl Iterator<Item = SocketAddr> {
+fn entry_addrs(view: &rpc::View) -> impl Iterator<Item = SocketAddr> {
     view.peers
         .iter()
         .filter(|peer| peer.role == member::Role::Entry)
--- a/src/edge/sidecar/core.rs
+++ b/src/edge/sidecar/core.rs
@@ -1,5 +1,5 @@
-//! The core thread: owns the ledger, and starts the tasks that its actions ask for. Others reach
-//! it over a bounded ring.
+//! The core thread: owns the ledger and starts the tasks that carry out its actions. Others reach
+//! it over a bounded queue.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use bytes::Bytes;
-use crossbeam_channel as ring;
+use crossbeam_channel as channel;
 use tokio::runtime;
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
@@ -31,49 +31,50 @@
 use crate::wire::member;
 use crate::wire::run;
 
-/// Messages that wait for the core thread. A full ring is answered `Busy`.
-const RING: usize = 8_192;
+/// Messages that may wait for the core thread. An offer that finds the queue full is rejected as
+/// `Busy`.
+const QUEUE_CAPACITY: usize = 8_192;
 
-/// Pause of a task whose message found the ring full.
-const PAUSE: Duration = Duration::from_millis(1);
+/// Time between tries to send a message while the queue is full.
+const FULL_QUEUE_DELAY: Duration = Duration::from_millis(1);
 
-/// Time for one try to tell the quorum of a crash or of a suspect that is cleared.
+/// Timeout of a proposal to the quorum: a crash, or a suspect to clear.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long entries are told that the backend server is absent, before its lease runs out.
-const ABSENT: Duration = Duration::from_millis(3_000);
+/// How long an absent backend server is still announced, as absent. After that its lease expires.
+const ABSENCE_NOTICE: Duration = Duration::from_millis(3_000);
 
-/// What the core thread takes.
+/// Message to the core thread.
 pub enum Message {
     /// An event for the ledger.
     Event(ledger::Event),
-    /// A stream was opened; this is its way back.
+    /// A stream was opened; its replies go into the channel.
     Open(ledger::Stream, mpsc::Sender<stream::Out>),
-    /// The body of an offer is whole.
+    /// The body of an offer was received in full.
     BodyReceived(id::Attempt, Bytes),
     /// The backend server announced itself.
     Announced(Box<Announcement>),
 }
 
-/// What others see of the ledger.
+/// Snapshot of the ledger for other threads.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
     /// The backend server's announcement, until it has been absent for a while.
     pub announcement: Option<Arc<Announcement>>,
-    /// The exact load.
+    /// Load of the backend server.
     pub load: member::Load,
-    /// Whether it gets no new work.
+    /// Whether no new work is admitted.
     pub leaving: bool,
-    /// Whether the backend server is not there now.
+    /// Whether the backend server is currently not reachable or not announced.
     pub absent: bool,
     /// Attempts in progress.
     pub in_progress: usize,
 }
 
-/// The ways to the core thread.
+/// Sends messages to the core thread and reads its status.
 #[derive(Clone)]
 pub struct Handle {
-    tx: ring::Sender<Message>,
+    tx: channel::Sender<Message>,
     status: Arc<ArcSwap<Status>>,
     /// Wakes the announcer.
     announce: Arc<Notify>,
@@ -82,7 +83,7 @@
 impl Handle {
     /// Starts the thread. Its tasks run on the tokio runtime that this is called in.
     pub fn start(node: &Arc<node::Node>, key: &str) -> Self {
-        let (tx, rx) = ring::bounded(RING);
+        let (tx, rx) = channel::bounded(QUEUE_CAPACITY);
         let handle = Self {
             tx,
             status: Arc::default(),
@@ -101,7 +102,7 @@
             streams: HashMap::new(),
             jobs: HashMap::new(),
             listing: false,
-            present: Duration::ZERO,
+            last_present: Duration::ZERO,
         };
         thread::Builder::new()
             .name("sidecar-core".to_owned())
@@ -110,32 +111,32 @@
         handle
     }
 
-    /// Tells without waiting. `false`: the ring is full and the message is dropped.
-    pub fn try_tell(&self, message: Message) -> bool {
+    /// Sends without waiting. Returns `false` if the queue is full; the message is dropped.
+    pub fn try_send(&self, message: Message) -> bool {
         self.tx.try_send(message).is_ok()
     }
 
-    /// Tells what must not be lost: waits, on the task alone, while the ring is full.
-    pub async fn tell(&self, message: Message) {
+    /// Sends a message that must not be lost. Waits asynchronously while the queue is full.
+    pub async fn send(&self, message: Message) {
         let mut message = message;
-        while let Err(ring::TrySendError::Full(back)) = self.tx.try_send(message) {
+        while let Err(channel::TrySendError::Full(back)) = self.tx.try_send(message) {
             message = back;
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(FULL_QUEUE_DELAY).await;
         }
     }
 
-    /// What the ledger last showed.
+    /// The latest snapshot of the ledger.
     pub fn status(&self) -> Arc<Status> {
         self.status.load_full()
     }
 
-    /// Waits until the entries are to be told at once.
-    pub async fn news(&self) {
+    /// Waits until the ledger requests an announcement without delay.
+    pub async fn announce_requested(&self) {
         self.announce.notified().await;
     }
 }
 
-/// What belongs to one attempt.
+/// Data of one attempt.
 #[derive(Default)]
 pub(super) struct Job {
     /// Invariant: taken when it starts.
@@ -150,7 +151,7 @@
     node: Arc<node::Node>,
     pub(super) handle: Handle,
     pub(super) runtime: runtime::Handle,
-    rx: ring::Receiver<Message>,
+    rx: channel::Receiver<Message>,
     ledger: ledger::Ledger,
     pub(super) count: count::Count,
     client: reqwest::Client,
@@ -158,22 +159,22 @@
     announcement: Option<Arc<Announcement>>,
     streams: HashMap<ledger::Stream, mpsc::Sender<stream::Out>>,
     pub(super) jobs: HashMap<id::Attempt, Job>,
-    /// Whether the engine's list is being read.
+    /// Whether a read of the engine's list is in progress.
     listing: bool,
-    /// When the backend server was last there.
-    present: Duration,
+    /// When the backend server was last present.
+    last_present: Duration,
 }
 
 impl Core {
-    /// Runs for as long as the process lives: it holds a handle of its own.
+    /// Runs until the process exits: it holds a sender of its own queue, which thus never closes.
     fn run(mut self) {
         let mut due = self.node.now();
         loop {
             let now = self.node.now();
             match self.rx.recv_timeout(due.saturating_sub(now)) {
-                Ok(message) => self.take(message),
-                Err(ring::RecvTimeoutError::Timeout) => {}
-                Err(ring::RecvTimeoutError::Disconnected) => return,
+                Ok(message) => self.receive(message),
+                Err(channel::RecvTimeoutError::Timeout) => {}
+                Err(channel::RecvTimeoutError::Disconnected) => return,
             }
             let now = self.node.now();
             if now >= due {
@@ -193,11 +194,11 @@
         let now = self.node.now();
         let is_present = self.ledger.present(now).is_some();
         if is_present {
-            self.present = now;
+            self.last_present = now;
         }
-        let is_told = now < self.present + ABSENT;
+        let is_announced = now < self.last_present + ABSENCE_NOTICE;
         self.handle.status.store(Arc::new(Status {
-            announcement: self.announcement.clone().filter(|_| is_told),
+            announcement: self.announcement.clone().filter(|_| is_announced),
             load: self.ledger.load(),
             leaving: self.ledger.leaving(),
             absent: !is_present,
@@ -205,7 +206,7 @@
         }));
     }
 
-    fn take(&mut self, message: Message) {
+    fn receive(&mut self, message: Message) {
         match message {
             Message::Open(number, out) => {
                 self.streams.insert(number, out);
@@ -218,7 +219,7 @@
             }
             Message::Announced(announcement) => self.announced(*announcement),
             Message::Event(ledger::Event::Offer(number, offer)) => {
-                // A copy of an offer must not replace the job of the first.
+                // A duplicate offer must not replace the job of the first one.
                 let job = self.jobs.entry(offer.attempt).or_default();
                 if job.offer.is_none() && job.flow.is_none() {
                     job.offer = Some(offer.clone());
@@ -306,12 +307,12 @@
 
     fn reply(&mut self, number: ledger::Stream, reply: run::Reply) {
         if let run::Reply::Refused { failure, .. } = &reply {
-            self.count.refused(failure.cause);
+            self.count.rejected(failure.cause);
         }
         self.send(number, stream::Out::Reply(reply));
     }
 
-    /// A stream that takes none of its replies is cut; its entry asks again.
+    /// Sends on a stream. A stream whose queue is full is dropped; its entry sends a query.
     fn send(&mut self, number: ledger::Stream, out: stream::Out) {
         if let Some(tx) = self.streams.get(&number)
             && tx.try_send(out).is_err()
@@ -369,7 +370,7 @@
             } else {
                 engine.start(&core, &offer, &body, &flow).await
             };
-            core.tell(Message::Event(event)).await;
+            core.send(Message::Event(event)).await;
         });
         job.task = Some(task.abort_handle());
         self.count.runs.inc();
@@ -386,7 +387,7 @@
         let core = self.handle.clone();
         let task = self.runtime.spawn(async move {
             let event = engine.resume(&core, attempt, &flow).await;
-            core.tell(Message::Event(event)).await;
+            core.send(Message::Event(event)).await;
         });
         if let Some(job) = self.jobs.get_mut(&attempt) {
             job.task = Some(task.abort_handle());
@@ -396,7 +397,7 @@
 
     fn stop(&mut self, run: String) {
         if self.is_plain() {
-            // Nothing but the connection can tell a plain service to stop.
+            // Closing the connection is the only way to stop a call to a plain service.
             for (attempt, job) in &mut self.jobs {
                 if let (true, Some(task)) = (attempt.to_string() == run, job.task.take()) {
                     task.abort();
@@ -410,7 +411,7 @@
         let core = self.handle.clone();
         self.runtime.spawn(async move {
             let event = engine.stop(&run).await;
-            core.tell(Message::Event(event)).await;
+            core.send(Message::Event(event)).await;
         });
     }
 
@@ -433,7 +434,7 @@
         let core = self.handle.clone();
         self.runtime.spawn(async move {
             if let Some(event) = engine.free_segment(&handle).await {
-                core.tell(Message::Event(event)).await;
+                core.send(Message::Event(event)).await;
             }
         });
     }
@@ -446,10 +447,10 @@
         let core = self.handle.clone();
         self.runtime.spawn(async move {
             if let Some(event) = engine.measure().await {
-                core.tell(Message::Event(event)).await;
+                core.send(Message::Event(event)).await;
             }
             let listed = engine.list().await;
-            core.tell(Message::Event(listed.unwrap_or(ledger::Event::Tick)))
+            core.send(Message::Event(listed.unwrap_or(ledger::Event::Tick)))
                 .await;
         });
     }
@@ -470,7 +471,7 @@
         self.runtime.spawn(async move {
             let verdict = node.propose(command, PROPOSE_TIMEOUT).await;
             if verdict != agree::Verdict::Unavailable {
-                core.tell(Message::Event(ledger::Event::CrashReported))
+                core.send(Message::Event(ledger::Event::CrashReported))
                     .await;
             }
         });
--- a/src/edge/sidecar/count.rs
+++ b/src/edge/sidecar/count.rs
@@ -7,7 +7,6 @@
 use super::super::metric;
 use crate::wire::outcome::Cause;
 
-/// Why, as a label.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Labels {
     cause: &'static str,
@@ -21,18 +20,18 @@
     pub offers: counter::Counter,
     /// Runs started on the backend server.
     pub runs: counter::Counter,
-    /// Segments of prompts larger than one engine.
+    /// Segments whose prefill was started.
     pub segments: counter::Counter,
-    /// Streams of the backend server taken up again.
+    /// Streams from the backend server that were resumed.
     pub resumed: counter::Counter,
-    /// Deaths of the backend server with work on it.
+    /// Crashes of the backend server with runs on it.
     pub crashes: counter::Counter,
-    refusals: ByCause,
+    rejections: ByCause,
     failures: ByCause,
 }
 
 impl Count {
-    /// Registers them.
+    /// Registers the counters.
     pub fn new(metrics: &metric::Registry) -> Self {
         let count = Self {
             offers: counter::Counter::default(),
@@ -40,7 +39,7 @@
             segments: counter::Counter::default(),
             resumed: counter::Counter::default(),
             crashes: counter::Counter::default(),
-            refusals: ByCause::default(),
+            rejections: ByCause::default(),
             failures: ByCause::default(),
         };
         metrics.with(|registry| {
@@ -69,7 +68,7 @@
             sub.register(
                 "refusals",
                 "Attempts refused, not run",
-                count.refusals.clone(),
+                count.rejections.clone(),
             );
             sub.register(
                 "failures",
@@ -80,15 +79,15 @@
         count
     }
 
-    /// An attempt was refused.
-    pub fn refused(&self, cause: Cause) {
+    /// Counts a rejected attempt.
+    pub fn rejected(&self, cause: Cause) {
         let labels = Labels {
             cause: cause.code(),
         };
-        self.refusals.get_or_create(&labels).inc();
+        self.rejections.get_or_create(&labels).inc();
     }
 
-    /// An attempt failed.
+    /// Counts an attempt that failed after its start.
     pub fn failed(&self, cause: Cause) {
         let labels = Labels {
             cause: cause.code(),
--- a/src/edge/sidecar/engine.rs
+++ b/src/edge/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! Calls of a model engine, as docs/ENGINE.md has them.
+//! Calls to a model engine; see docs/ENGINE.md.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,23 +18,22 @@
 use crate::wire::outcome::Ran;
 use crate::wire::run;
 
-/// Time for a call that does not stream.
+/// Timeout of a call that does not stream.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Longest line of an engine's stream.
-const MAX_LINE: usize = 4 << 20;
+const MAX_LINE_BYTES: usize = 4 << 20;
 
 /// A model engine.
 #[derive(Clone)]
 pub struct Engine {
     /// Shared by all calls.
     pub client: reqwest::Client,
-    /// Where it is, without a slash at the end.
+    /// Base URL, without a trailing slash.
     pub url: String,
-    /// Key that it may check.
+    /// Bearer token of each call; empty for none.
     pub key: String,
 }
 
@@ -126,7 +125,7 @@
 }
 
 #[derive(Deserialize)]
-struct News {
+struct CacheReport {
     first: u64,
     next: u64,
     #[serde(default)]
@@ -135,7 +134,7 @@
     dropped: Vec<u64>,
 }
 
-/// A client for calls of backend servers.
+/// An HTTP client for calls to backend servers.
 pub fn client() -> reqwest::Client {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
@@ -155,7 +154,7 @@
         request.bearer_auth(&self.key)
     }
 
-    /// Starts a run and reads its stream. Returns what the ledger is to know of its end.
+    /// Starts a run and reads its stream. Returns the event that reports how it ended.
     pub async fn start(
         &self,
         core: &core::Handle,
@@ -196,18 +195,18 @@
             Ok(response) if response.status().is_success() => {
                 read(core, attempt, response, flow).await
             }
-            Ok(response) => self.refused(core, attempt, response, flow).await,
+            Ok(response) => self.rejected(core, attempt, response, flow).await,
             Err(err) if err.is_connect() => {
-                core.tell(core::Message::Event(ledger::Event::Unreachable))
+                core.send(core::Message::Event(ledger::Event::Unreachable))
                     .await;
                 ledger::Event::Rejected(attempt, Cause::NoServer)
             }
-            // It may have arrived.
+            // The engine may have received the request.
             Err(_) => ledger::Event::Disconnected(attempt),
         }
     }
 
-    async fn refused(
+    async fn rejected(
         &self,
         core: &core::Handle,
         attempt: id::Attempt,
@@ -218,17 +217,17 @@
         let error = response.json::<Error>().await;
         let error = error.map_or_else(|_| String::new(), |error| error.error);
         let cause = match (status, error.as_str()) {
-            // The start was sent before, on a connection that failed: it runs.
+            // An earlier request, on a connection that failed, has started it.
             (409, "duplicate") => return self.resume(core, attempt, flow).await,
             (404, "model") => Cause::NoServer,
             (429, _) => Cause::Busy,
             (507, _) => Cause::Memory,
             (400, _) => Cause::BadRequest,
             (401 | 403, _) => Cause::Internal,
-            // A segment before it is gone.
+            // A segment of its context no longer exists.
             (424, _) => Cause::ServerError,
             _ => {
-                return ledger::Event::Ended(failed(
+                return ledger::Event::Ended(failure_reply(
                     attempt,
                     Cause::ServerError,
                     &format!("the engine answered {status} {error}"),
@@ -238,7 +237,7 @@
         ledger::Event::Rejected(attempt, cause)
     }
 
-    /// Takes up the stream of a run from where its answer is kept.
+    /// Reopens the stream of a run at the end of the response received so far.
     pub async fn resume(
         &self,
         core: &core::Handle,
@@ -254,7 +253,7 @@
             Ok(_) => ledger::Event::Disconnected(attempt),
             Err(err) => {
                 if err.is_connect() {
-                    core.tell(core::Message::Event(ledger::Event::Unreachable))
+                    core.send(core::Message::Event(ledger::Event::Unreachable))
                         .await;
                 }
                 ledger::Event::Disconnected(attempt)
@@ -262,7 +261,7 @@
         }
     }
 
-    /// Stops a run. `Stopped`: the engine holds it no more.
+    /// Stops a run. Returns `Stopped` if the engine no longer holds it.
     pub async fn stop(&self, run: &str) -> ledger::Event {
         match self.free(&format!("/v1/runs/{run}")).await {
             Ok(()) => ledger::Event::Stopped(run.to_owned()),
@@ -286,7 +285,7 @@
         }
     }
 
-    /// Reads the engine's list.
+    /// Reads the engine's list of runs and segments.
     pub async fn list(&self) -> Option<ledger::Event> {
         let list: List = match self.get("/v1/runs").await {
             Ok(list) => list,
@@ -319,14 +318,14 @@
         ))
     }
 
-    /// Reads news of the engine's prefix cache.
+    /// Reads changes of the engine's prefix cache since number `after`.
     pub async fn cache(&self, after: u64) -> Option<member::Cache> {
-        let news: News = self.get(&format!("/v1/cache?after={after}")).await.ok()?;
+        let report: CacheReport = self.get(&format!("/v1/cache?after={after}")).await.ok()?;
         Some(member::Cache {
-            first: news.first,
-            next: news.next,
-            held: news.held,
-            dropped: news.dropped,
+            first: report.first,
+            next: report.next,
+            held: report.held,
+            dropped: report.dropped,
         })
     }
 
@@ -349,7 +348,7 @@
     flow: &Arc<flow::Flow>,
 ) -> ledger::Event {
     let mut buf = BytesMut::new();
-    let mut begun = false;
+    let mut has_output = false;
     loop {
         let Ok(Some(chunk)) = response.chunk().await else {
             return ledger::Event::Disconnected(attempt);
@@ -381,9 +380,9 @@
             }
         }
         if !tokens.is_empty() {
-            if !begun {
-                begun = true;
-                core.tell(core::Message::Event(ledger::Event::FirstOutput(attempt)))
+            if !has_output {
+                has_output = true;
+                core.send(core::Message::Event(ledger::Event::FirstOutput(attempt)))
                     .await;
             }
             if !flow.push_tokens(first, tokens) {
@@ -391,19 +390,23 @@
             }
         }
         if let Some(ended) = ended {
-            return ledger::Event::Ended(last(attempt, ended, flow.length()));
+            return ledger::Event::Ended(final_reply(attempt, ended, flow.length()));
         }
-        if buf.len() > MAX_LINE {
+        if buf.len() > MAX_LINE_BYTES {
             let message = "the engine sent a line that is too long";
-            return ledger::Event::Ended(failed(attempt, Cause::ServerError, message));
+            return ledger::Event::Ended(failure_reply(attempt, Cause::ServerError, message));
         }
     }
 }
 
-/// The final word of a run. An answer is whole only if all of it came.
-fn last(attempt: id::Attempt, ended: Result<(End, u64, Usage), String>, came: u64) -> run::Reply {
+/// The final reply of a run. A response is complete only if its length matches.
+fn final_reply(
+    attempt: id::Attempt,
+    ended: Result<(End, u64, Usage), String>,
+    received: u64,
+) -> run::Reply {
     match ended {
-        Ok((_, length, _)) if length != came => failed(
+        Ok((_, length, _)) if length != received => failure_reply(
             attempt,
             Cause::ServerError,
             "the engine's answer is shorter or longer than it says",
@@ -427,12 +430,12 @@
                 "cancelled" => Cause::Cancelled,
                 _ => Cause::ServerError,
             };
-            failed(attempt, cause, &format!("the engine ended it: {error}"))
+            failure_reply(attempt, cause, &format!("the engine ended it: {error}"))
         }
     }
 }
 
-fn failed(attempt: id::Attempt, cause: Cause, message: &str) -> run::Reply {
+fn failure_reply(attempt: id::Attempt, cause: Cause, message: &str) -> run::Reply {
     run::Reply::Failed {
         attempt,
         failure: outcome::Failure {
@@ -444,7 +447,7 @@
     }
 }
 
-/// Takes the next event off the buffer. Lines that are no event are passed over.
+/// Takes the next event off the buffer. Lines that are not events are skipped.
 fn take_line(buf: &mut BytesMut) -> Option<Line> {
     loop {
         let end = buf.iter().position(|byte| *byte == b'\n')?;
--- a/src/edge/sidecar/flow.rs
+++ b/src/edge/sidecar/flow.rs
@@ -1,5 +1,5 @@
-//! The answer of one attempt between the task that reads it from the backend server and the
-//! streams that take it.
+//! The response of one attempt, shared by the task that reads it from the backend server and the
+//! streams that send it to entries.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -12,18 +12,18 @@
 use crate::wire::id;
 use crate::wire::run;
 
-/// The answer of one attempt.
+/// The response of one attempt.
 pub struct Flow {
     buffer: Mutex<buffer::Buffer>,
-    /// Tells readers that there is more.
+    /// Wakes streams when there is more to send.
     updates: watch::Sender<()>,
-    /// Offset up to which it was sent on some stream.
+    /// Highest offset up to which any stream has sent it.
     sent: AtomicU64,
-    /// Tells the writer that more was sent.
+    /// Wakes the writer when more was sent.
     drained: watch::Sender<()>,
 }
 
-/// A stream's place in an answer.
+/// A stream's position in a response.
 pub struct Cursor<'a> {
     flow: &'a Flow,
     updates: watch::Receiver<()>,
@@ -37,12 +37,12 @@
     Send(run::Reply),
     /// Send this; nothing follows.
     End(run::Reply),
-    /// What was asked for is not kept.
+    /// The response at this offset is not kept.
     Gone,
 }
 
 impl Flow {
-    /// An answer of which the first token or byte will be number `first`.
+    /// An empty response whose first token or byte will have number `first`.
     pub fn new(attempt: id::Attempt, first: u64) -> Self {
         Self {
             buffer: Mutex::new(buffer::Buffer::new(attempt, first)),
@@ -56,31 +56,31 @@
         self.buffer.lock().expect("buffer lock")
     }
 
-    /// Number after the last token or byte that came.
+    /// Number after the last token or byte received.
     pub fn length(&self) -> u64 {
         self.lock().length()
     }
 
-    /// Takes tokens; `false`: some before them are missing.
+    /// Appends tokens. Returns `false` if tokens before `offset` are missing.
     pub fn push_tokens(&self, offset: u64, tokens: Vec<String>) -> bool {
         let placed = self.lock().push_tokens(offset, tokens);
         self.updates.send_replace(());
         placed
     }
 
-    /// Takes the head of a plain service's answer.
+    /// Records the head of a plain service's response.
     pub fn set_head(&self, status: u16, headers: Vec<(String, String)>) {
         self.lock().set_head(status, headers);
         self.updates.send_replace(());
     }
 
-    /// Takes the word that the segment is held.
+    /// Records that the segment is held.
     pub fn set_held(&self, segment: run::Context, tokens: u64) {
         self.lock().set_held(segment, tokens);
         self.updates.send_replace(());
     }
 
-    /// Takes the next bytes, when there is drained for them.
+    /// Appends bytes. Waits while too many are unsent.
     pub async fn push_bytes(&self, bytes: &bytes::Bytes) {
         let mut drained = self.drained.subscribe();
         while !self.lock().has_capacity(self.sent.load(Ordering::Acquire)) {
@@ -92,13 +92,13 @@
         self.updates.send_replace(());
     }
 
-    /// Says the final word.
+    /// Records the final reply.
     pub fn finish(&self, reply: run::Reply) {
         self.lock().finish(reply);
         self.updates.send_replace(());
     }
 
-    /// A place in the answer.
+    /// A cursor at `offset`, before the head.
     pub fn cursor(&self, offset: u64) -> Cursor<'_> {
         Cursor {
             flow: self,
@@ -117,7 +117,7 @@
 }
 
 impl Cursor<'_> {
-    /// What comes next; waits for it. Cancel safe.
+    /// Waits for what is to be sent next. Cancel safe.
     pub async fn next(&mut self) -> Next {
         loop {
             self.updates.borrow_and_update();
@@ -140,7 +140,7 @@
         }
     }
 
-    /// What was given out last was sent.
+    /// Confirms that the last reply returned by [`Self::next`] was sent.
     pub fn mark_sent(&self) {
         self.flow.mark_sent(self.offset);
     }
--- a/src/edge/sidecar/order.rs
+++ b/src/edge/sidecar/order.rs
@@ -1,7 +1,7 @@
-//! Orders to the backend server, passed on only under the fencing number in force.
+//! Orders to the backend server, forwarded only with the current fencing number or a newer one.
 //!
-//! The sidecar enforces the number whether the backend server checks it or not: it is the one
-//! way to its backend server. Orders pass one at a time.
+//! The sidecar enforces the number whether the backend server checks it or not: it is the only
+//! path to its backend server. Orders are forwarded one at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,21 +18,21 @@
 use crate::wire::outcome;
 use crate::wire::outcome::Cause;
 
-/// Time for the quorum's word on the number in force.
+/// Timeout of the query to the quorum for the current number.
 const LEARN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for the backend server to carry an order out.
+/// Time for the backend server to execute an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(590);
 
-/// When to try again, in milliseconds.
-const RETRY_MS: u64 = 1_000;
+/// Retry-after time of a rejected order, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Passes orders on.
+/// Forwards orders to the backend server.
 pub struct Orders {
     node: Arc<node::Node>,
     client: reqwest::Client,
     key: String,
-    /// Held while an order is on its way, so that none overtakes another.
+    /// Locked while an order is in progress, so that none overtakes another.
     fence: Mutex<fence::Fence>,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Orders {
-    /// Passes on to the backend server that checks `key`.
+    /// `key` is sent to the backend server as the bearer token.
     pub fn new(node: &Arc<node::Node>, key: &str) -> Self {
         Self {
             node: Arc::clone(node),
@@ -59,21 +59,21 @@
         }
     }
 
-    /// Passes one order on.
+    /// Forwards one order and waits for its result.
     pub async fn pass(
         &self,
         status: &core::Status,
         order: order::Order,
     ) -> Result<(), outcome::Failure> {
         let Some(announcement) = &status.announcement else {
-            return Err(refused(
+            return Err(rejected(
                 Cause::NoServer,
                 "the backend server is not present",
             ));
         };
         if announcement.server != order.server {
             let text = format!("this is the sidecar of {}", announcement.server);
-            return Err(refused(Cause::NoServer, &text));
+            return Err(rejected(Cause::NoServer, &text));
         }
         let mut fence = self.fence.lock().await;
         if fence.current().is_none() {
@@ -84,22 +84,22 @@
                 "fencing number {} is older than the one in force",
                 order.fence
             );
-            refused(cause, &text)
+            rejected(cause, &text)
         })?;
         let url = announcement.url.trim_end_matches('/');
         self.send(url, &order).await
     }
 
-    /// The number in force, by the quorum.
+    /// The current number, from the quorum.
     async fn current(&self, server: &str) -> Result<u64, outcome::Failure> {
-        let ask = agree::Command::Fenced {
+        let command = agree::Command::Fenced {
             server: server.to_owned(),
         };
-        if let agree::Verdict::Number(number) = self.node.propose(ask, LEARN_TIMEOUT).await {
+        if let agree::Verdict::Number(number) = self.node.propose(command, LEARN_TIMEOUT).await {
             return Ok(number);
         }
         let text = "the fencing number in force is not known: no quorum answers";
-        Err(refused(Cause::NoQuorum, text))
+        Err(rejected(Cause::NoQuorum, text))
     }
 
     async fn send(&self, url: &str, order: &order::Order) -> Result<(), outcome::Failure> {
@@ -117,13 +117,13 @@
             .timeout(ORDER_TIMEOUT)
             .json(&body);
         match request.send().await {
-            Ok(answer) if answer.status().is_success() => Ok(()),
-            Ok(answer) if answer.status() == reqwest::StatusCode::CONFLICT => Err(refused(
+            Ok(response) if response.status().is_success() => Ok(()),
+            Ok(response) if response.status() == reqwest::StatusCode::CONFLICT => Err(rejected(
                 Cause::Fenced,
                 "the backend server knows a newer number",
             )),
-            Ok(answer) => {
-                let text = format!("the backend server answered {}", answer.status());
+            Ok(response) => {
+                let text = format!("the backend server answered {}", response.status());
                 Err(outcome::Failure::may_have_run(Cause::ServerError, &text))
             }
             Err(err) => {
@@ -134,6 +134,6 @@
     }
 }
 
-fn refused(cause: Cause, text: &str) -> outcome::Failure {
-    outcome::Failure::not_run(cause, Some(RETRY_MS), text)
+fn rejected(cause: Cause, text: &str) -> outcome::Failure {
+    outcome::Failure::not_run(cause, Some(RETRY_AFTER_MS), text)
 }
--- a/src/edge/sidecar/plain.rs
+++ b/src/edge/sidecar/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service.
+//! Calls to a plain service.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::wire::outcome::Cause;
 use crate::wire::run;
 
-/// Calls the service and reads its answer. Returns what the ledger is to know of its end.
+/// Calls the service and reads its response. Returns the event that reports how it ended.
 pub async fn call(
     client: &reqwest::Client,
     url: &str,
@@ -48,14 +48,14 @@
     let mut response = match client.execute(request).await {
         Ok(response) => response,
         Err(err) if err.is_connect() => {
-            core.tell(core::Message::Event(ledger::Event::Unreachable))
+            core.send(core::Message::Event(ledger::Event::Unreachable))
                 .await;
             return ledger::Event::Rejected(attempt, Cause::NoServer);
         }
-        // It may have arrived.
+        // The service may have received the request.
         Err(_) => return ledger::Event::Disconnected(attempt),
     };
-    core.tell(core::Message::Event(ledger::Event::FirstOutput(attempt)))
+    core.send(core::Message::Event(ledger::Event::FirstOutput(attempt)))
         .await;
     let passed = response.headers().iter().filter_map(|(name, value)| {
         let name = name.as_str();
--- a/src/edge/sidecar/segment.rs
+++ b/src/edge/sidecar/segment.rs
@@ -1,4 +1,4 @@
-//! KV segments of prompts that are larger than one engine, as docs/ENGINE.md has them.
+//! KV segments of prompts that are larger than one engine; see docs/ENGINE.md.
 
 use std::sync::Arc;
 
@@ -30,7 +30,8 @@
 }
 
 impl engine::Engine {
-    /// Prefills a segment after `context`. Returns what the ledger is to know of it.
+    /// Prefills a segment after the segments of `context`. Returns the event that reports the
+    /// outcome.
     pub async fn hold(
         &self,
         core: &core::Handle,
@@ -43,7 +44,7 @@
         let Ok(text) = std::str::from_utf8(body) else {
             return ledger::Event::Rejected(attempt, Cause::BadRequest);
         };
-        let ask = Hold {
+        let request = Hold {
             owner: &attempt.to_string(),
             text,
             context,
@@ -52,13 +53,13 @@
         };
         let sent = self
             .call(reqwest::Method::POST, "/v1/kv")
-            .json(&ask)
+            .json(&request)
             .send()
             .await;
         let response = match sent {
             Ok(response) => response,
             Err(err) if err.is_connect() => {
-                core.tell(core::Message::Event(ledger::Event::Unreachable))
+                core.send(core::Message::Event(ledger::Event::Unreachable))
                     .await;
                 return ledger::Event::Rejected(attempt, Cause::NoServer);
             }
@@ -81,12 +82,12 @@
             409 => ledger::Event::Rejected(attempt, Cause::Deadline),
             429 => ledger::Event::Rejected(attempt, Cause::Busy),
             507 => ledger::Event::Rejected(attempt, Cause::Memory),
-            // 424: a segment before it is gone.
+            // 424: a segment of its context no longer exists.
             _ => ledger::Event::Rejected(attempt, Cause::ServerError),
         }
     }
 
-    /// Frees all segments of an attempt. `Stopped`: the engine holds none of it any more.
+    /// Frees all segments of an attempt. Returns `Stopped` if the engine no longer holds any.
     pub async fn release(&self, attempt: id::Attempt) -> ledger::Event {
         match self.free(&format!("/v1/kv?owner={attempt}")).await {
             Ok(()) => ledger::Event::Stopped(attempt.to_string()),
@@ -112,14 +113,14 @@
         let core = self.handle.clone();
         let task = self.runtime.spawn(async move {
             let event = engine.hold(&core, &offer, &context, &body, &flow).await;
-            core.tell(core::Message::Event(event)).await;
+            core.send(core::Message::Event(event)).await;
         });
         job.task = Some(task.abort_handle());
         self.count.segments.inc();
     }
 
     pub(super) fn release(&mut self, attempt: id::Attempt) {
-        // The prefill must not be asked for after its segments were freed.
+        // A prefill request must not reach the engine after the segments were freed.
         if let Some(job) = self.jobs.get_mut(&attempt)
             && let Some(task) = job.task.take()
         {
@@ -131,7 +132,7 @@
         let core = self.handle.clone();
         self.runtime.spawn(async move {
             let event = engine.release(attempt).await;
-            core.tell(core::Message::Event(event)).await;
+            core.send(core::Message::Event(event)).await;
         });
     }
 }
--- a/src/edge/sidecar/stream.rs
+++ b/src/edge/sidecar/stream.rs
@@ -1,5 +1,5 @@
-//! The stream of one attempt from an entry: its calls go to the core thread, replies and the
-//! answer go back. Neither direction waits for the other.
+//! The stream of one attempt from an entry: passes calls to the core thread, and replies and the
+//! response back. Neither direction waits for the other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,20 +19,21 @@
 use crate::wire::outcome::Ran;
 use crate::wire::run;
 
-/// Replies that wait for a slow entry, the answer itself apart.
-pub const REPLIES: usize = 64;
+/// Replies that may wait for a slow entry, the response itself not included.
+pub const MAX_QUEUED_REPLIES: usize = 64;
 
-/// How long an entry may take nothing before its stream is cut. It can resume with a query.
-const STALL: Duration = Duration::from_secs(30);
+/// How long a send to an entry may block before its stream is closed. The entry can resume with a
+/// query.
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Largest body of one attempt.
-const MAX_BODY: u64 = 64 << 20;
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// What the core thread has for a stream.
+/// Message from the core thread to a stream.
 pub enum Out {
-    /// Send this.
+    /// Send a reply.
     Reply(run::Reply),
-    /// Send the answer of an attempt from an offset on.
+    /// Send the response of an attempt from an offset on.
     Attach(id::Attempt, Arc<flow::Flow>, u64),
 }
 
@@ -43,17 +44,17 @@
     tx: link::Sender<run::Reply>,
     rx: link::Receiver<run::Call>,
 ) {
-    let (out, replies) = mpsc::channel(REPLIES);
-    core.tell(core::Message::Open(number, out.clone())).await;
+    let (out, replies) = mpsc::channel(MAX_QUEUED_REPLIES);
+    core.send(core::Message::Open(number, out.clone())).await;
     tokio::select! {
         () = read(core, number, rx, out) => {}
         () = write(tx, replies) => {}
     }
-    core.tell(core::Message::Event(ledger::Event::Closed(number)))
+    core.send(core::Message::Event(ledger::Event::Closed(number)))
         .await;
 }
 
-/// Reads calls until the entry ends its direction or is lost.
+/// Reads calls until the entry closes its direction or disconnects.
 async fn read(
     core: &core::Handle,
     number: ledger::Stream,
@@ -67,40 +68,41 @@
                 let attempt = offer.attempt;
                 let len = offer.body_len;
                 if let Some(failure) = too_large(len) {
-                    refuse(&out, attempt, failure).await;
+                    reject(&out, attempt, failure).await;
                     continue;
                 }
                 let message = core::Message::Event(ledger::Event::Offer(number, offer));
-                if !core.try_tell(message) {
-                    // It was never put to the ledger, and this was its only copy.
-                    refuse(&out, attempt, busy()).await;
+                if !core.try_send(message) {
+                    // "Not run" is certain: the ledger did not get the offer, and there is no
+                    // other copy.
+                    reject(&out, attempt, busy()).await;
                     continue;
                 }
                 if len > 0 {
                     body = Some((attempt, len, BytesMut::new()));
                 }
             }
-            run::Call::Body(part) => {
+            run::Call::Body(chunk) => {
                 let Some((attempt, len, mut buf)) = body.take() else {
                     continue;
                 };
-                buf.extend_from_slice(&part);
+                buf.extend_from_slice(&chunk);
                 if (buf.len() as u64) < len {
                     body = Some((attempt, len, buf));
                     continue;
                 }
-                core.tell(core::Message::BodyReceived(attempt, buf.freeze()))
+                core.send(core::Message::BodyReceived(attempt, buf.freeze()))
                     .await;
             }
             call => {
-                core.tell(core::Message::Event(ledger::Event::Call(number, call)))
+                core.send(core::Message::Event(ledger::Event::Call(number, call)))
                     .await;
             }
         }
     }
 }
 
-/// Sends replies and the answer until the final word was sent or the entry is lost.
+/// Sends replies and the response until the final reply was sent or the entry disconnects.
 async fn write(mut tx: link::Sender<run::Reply>, mut replies: mpsc::Receiver<Out>) {
     loop {
         match replies.recv().await {
@@ -116,7 +118,7 @@
                 }
             }
             Some(Out::Attach(attempt, flow, offset)) => {
-                if stream(&mut tx, attempt, &flow, offset).await.is_ok() {
+                if send_response(&mut tx, attempt, &flow, offset).await.is_ok() {
                     let _ = tx.finish();
                 }
                 return;
@@ -125,8 +127,8 @@
     }
 }
 
-/// Sends an answer from `offset` to its end.
-async fn stream(
+/// Sends a response from `offset` to its end.
+async fn send_response(
     tx: &mut link::Sender<run::Reply>,
     attempt: id::Attempt,
     flow: &flow::Flow,
@@ -140,18 +142,18 @@
                 cursor.mark_sent();
             }
             flow::Next::End(reply) => return send(tx, &reply).await,
-            flow::Next::Gone => return send(tx, &gone(attempt)).await,
+            flow::Next::Gone => return send(tx, &not_kept(attempt)).await,
         }
     }
 }
 
 async fn send(tx: &mut link::Sender<run::Reply>, reply: &run::Reply) -> Result<(), link::Error> {
-    time::timeout(STALL, tx.send(reply))
+    time::timeout(STALL_TIMEOUT, tx.send(reply))
         .await
         .unwrap_or(Err(link::Error::Timeout))
 }
 
-async fn refuse(out: &mpsc::Sender<Out>, attempt: id::Attempt, failure: outcome::Failure) {
+async fn reject(out: &mpsc::Sender<Out>, attempt: id::Attempt, failure: outcome::Failure) {
     let reply = run::Reply::Refused {
         attempt,
         failure,
@@ -166,12 +168,12 @@
 }
 
 fn too_large(len: u64) -> Option<outcome::Failure> {
-    (len > MAX_BODY)
+    (len > MAX_BODY_BYTES)
         .then(|| outcome::Failure::not_run(Cause::TooLarge, None, "the body is too large"))
 }
 
-/// The answer's part that was asked for is no longer kept.
-fn gone(attempt: id::Attempt) -> run::Reply {
+/// The reply if the response at the requested offset is no longer kept.
+fn not_kept(attempt: id::Attempt) -> run::Reply {
     run::Reply::Failed {
         attempt,
         failure: outcome::Failure {
@@ -183,7 +185,7 @@
     }
 }
 
-/// Whether nothing follows a reply on its stream.
+/// Whether a reply is the last one on its stream.
 fn is_last(reply: &run::Reply) -> bool {
     match reply {
         run::Reply::Refused { .. }
--- a/src/sidecar/tombstone.rs
+++ b/src/sidecar/tombstone.rs
@@ -11,8 +11,7 @@
 use crate::wire::outcome;
 
 /// Lifetime of a tombstone, counted only while this process runs. Longer than
-/// [`super::ledger::MAX_TIME_LIMIT`], so no frame of an attempt outlives its
-/// tombstone.
+/// [`super::ledger::MAX_TIME_LIMIT`], so no frame of an attempt outlives its tombstone.
 pub const TTL: Duration = Duration::from_secs(2 * 60 * 60);
 
 /// Most tombstones, attempts in progress included. About 80 bytes each.
