--- a/tests/sidecar_ledger.rs
+++ b/tests/sidecar_ledger.rs
@@ -1,4 +1,5 @@
-//! The sidecar's ledger on its own: room, tombstones, orders' fence, reconciliation.
+//! Tests of the sidecar's logic without I/O: capacity, tombstones, fencing of orders, and
+//! reconciliation with the engine's list.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 use wigeonbarrow::wire::outcome::Ran;
 use wigeonbarrow::wire::run;
 
-const LIFE: id::Incarnation = id::Incarnation(7);
+const INCARNATION: id::Incarnation = id::Incarnation(7);
 const SLOTS: u32 = 8;
 const MEMORY: u64 = 18_000;
 
@@ -35,7 +36,7 @@
     run::Offer {
         attempt: attempt(number),
         entry: id::Incarnation(1),
-        sidecar: LIFE,
+        sidecar: INCARNATION,
         service: "pool".to_owned(),
         workspace: "w".to_owned(),
         fingerprint: id::Fingerprint([number as u8; 16]),
@@ -56,9 +57,9 @@
     }
 }
 
-fn backend(life: u64) -> ledger::Backend {
+fn backend(incarnation: u64) -> ledger::Backend {
     ledger::Backend {
-        incarnation: id::Incarnation(life),
+        incarnation: id::Incarnation(incarnation),
         kind: member::Kind::Engine,
         models: vec!["m".to_owned()],
         capacity: capacity::Capacity {
@@ -70,17 +71,17 @@
     }
 }
 
-fn present(tombs: usize) -> ledger::Ledger {
-    let mut ledger = ledger::Ledger::new(LIFE, tombs);
+fn ledger_with_backend(max_tombstones: usize) -> ledger::Ledger {
+    let mut ledger = ledger::Ledger::new(INCARNATION, max_tombstones);
     ledger.step(ms(0), Event::Announced(backend(1)));
     ledger
 }
 
-fn take(ledger: &mut ledger::Ledger, now: Duration, offer: run::Offer) -> Vec<Action> {
+fn offer_to(ledger: &mut ledger::Ledger, now: Duration, offer: run::Offer) -> Vec<Action> {
     ledger.step(now, Event::Offer(1, Box::new(offer)))
 }
 
-fn refusal(actions: &[Action]) -> Option<Cause> {
+fn rejection(actions: &[Action]) -> Option<Cause> {
     actions.iter().find_map(|action| match action {
         Action::Reply(_, run::Reply::Refused { failure, .. }) => {
             assert_eq!(failure.ran, Ran::NotRun);
@@ -91,51 +92,51 @@
     })
 }
 
-fn runs(actions: &[Action]) -> bool {
+fn has_run(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Run(_)))
 }
 
 #[test]
-fn exact_room() {
-    let mut ledger = present(64);
-    assert!(runs(&take(
+fn reservations_match_capacity() {
+    let mut ledger = ledger_with_backend(64);
+    assert!(has_run(&offer_to(
         &mut ledger,
         ms(1),
         offer(1, run::Class::Long, 10_000)
     )));
-    // The whole context and a margin of one in fifty.
+    // The whole context and a margin of 1/50 of the prompt.
     assert_eq!(ledger.load().used_tokens, 10_000 + 100 + 200);
     assert_eq!(
         (ledger.load().all_ahead, ledger.load().short_ahead),
         (10_000, 0)
     );
-    // Long work leaves a sixteenth of the memory and a slot; short work takes them.
-    let refused = take(&mut ledger, ms(1), offer(2, run::Class::Long, 6_500));
-    assert_eq!(refusal(&refused), Some(Cause::Memory));
-    assert!(runs(&take(
+    // 1/16 of the memory and one slot are reserved for short work.
+    let rejected = offer_to(&mut ledger, ms(1), offer(2, run::Class::Long, 6_500));
+    assert_eq!(rejection(&rejected), Some(Cause::Memory));
+    assert!(has_run(&offer_to(
         &mut ledger,
         ms(1),
         offer(3, run::Class::Short, 6_500)
     )));
     for number in 4..9 {
-        assert!(runs(&take(
+        assert!(has_run(&offer_to(
             &mut ledger,
             ms(1),
             offer(number, run::Class::Short, 10)
         )));
     }
-    let last = take(&mut ledger, ms(1), offer(9, run::Class::Medium, 10));
-    assert_eq!(refusal(&last), Some(Cause::Busy));
-    assert!(runs(&take(
+    let last = offer_to(&mut ledger, ms(1), offer(9, run::Class::Medium, 10));
+    assert_eq!(rejection(&last), Some(Cause::Busy));
+    assert!(has_run(&offer_to(
         &mut ledger,
         ms(1),
         offer(10, run::Class::Short, 10)
     )));
-    let full = take(&mut ledger, ms(1), offer(11, run::Class::Short, 10));
-    assert_eq!(refusal(&full), Some(Cause::Busy));
-    // All comes back, to the token.
+    let full = offer_to(&mut ledger, ms(1), offer(11, run::Class::Short, 10));
+    assert_eq!(rejection(&full), Some(Cause::Busy));
+    // Everything is freed, to the token.
     for number in [1, 3, 4, 5, 6, 7, 8, 10] {
         let done = run::Reply::Done {
             attempt: attempt(number),
@@ -150,42 +151,45 @@
 }
 
 #[test]
-fn suspects_apart() {
+fn suspects_never_share_server() {
     let suspect = |number, fingerprint| {
         let mut suspect = offer(number, run::Class::Short, 10);
         suspect.suspect = true;
         suspect.fingerprint = id::Fingerprint([fingerprint; 16]);
         suspect
     };
-    let mut ledger = present(64);
-    assert_eq!(refusal(&take(&mut ledger, ms(1), suspect(1, 1))), None);
+    let mut ledger = ledger_with_backend(64);
     assert_eq!(
-        refusal(&take(&mut ledger, ms(2), suspect(2, 2))),
+        rejection(&offer_to(&mut ledger, ms(1), suspect(1, 1))),
+        None
+    );
+    assert_eq!(
+        rejection(&offer_to(&mut ledger, ms(2), suspect(2, 2))),
         Some(Cause::Busy),
-        "two that may kill the engine never meet"
+        "two different suspects must not run on one engine"
     );
     assert_eq!(
-        refusal(&take(&mut ledger, ms(3), suspect(3, 1))),
+        rejection(&offer_to(&mut ledger, ms(3), suspect(3, 1))),
         None,
-        "the same one again"
+        "the same suspect again is admitted"
     );
-    let innocent = offer(4, run::Class::Short, 10);
-    assert_eq!(refusal(&take(&mut ledger, ms(4), innocent)), None);
+    let ordinary = offer(4, run::Class::Short, 10);
+    assert_eq!(rejection(&offer_to(&mut ledger, ms(4), ordinary)), None);
 }
 
 #[test]
-fn refusing_offers() {
-    let mut ledger = present(64);
+fn rejected_offer_never_runs() {
+    let mut ledger = ledger_with_backend(64);
     let mut other = offer(1, run::Class::Short, 10);
     other.sidecar = id::Incarnation(6);
     assert_eq!(
-        refusal(&take(&mut ledger, ms(1), other)),
+        rejection(&offer_to(&mut ledger, ms(1), other)),
         Some(Cause::NoServer)
     );
-    let mut folded = offer(2, run::Class::Short, 10);
-    folded.repeatable = false;
+    let mut unrepeatable = offer(2, run::Class::Short, 10);
+    unrepeatable.repeatable = false;
     assert_eq!(
-        refusal(&take(&mut ledger, ms(1), folded)),
+        rejection(&offer_to(&mut ledger, ms(1), unrepeatable)),
         Some(Cause::BadRequest)
     );
     let mut model = offer(3, run::Class::Short, 10);
@@ -197,30 +201,30 @@
         context: Vec::new(),
     };
     assert_eq!(
-        refusal(&take(&mut ledger, ms(1), model)),
+        rejection(&offer_to(&mut ledger, ms(1), model)),
         Some(Cause::NoServer)
     );
-    // What was refused never runs, also when its backend server could take it later.
+    // A rejected attempt never runs, even if the backend server could take it later.
     ledger.step(ms(2), Event::Drain);
-    let leaving = take(&mut ledger, ms(2), offer(4, run::Class::Short, 10));
-    assert_eq!(refusal(&leaving), Some(Cause::Draining));
-    let again = take(&mut ledger, ms(3), offer(4, run::Class::Short, 10));
-    assert_eq!(refusal(&again), Some(Cause::Tombstoned));
+    let leaving = offer_to(&mut ledger, ms(2), offer(4, run::Class::Short, 10));
+    assert_eq!(rejection(&leaving), Some(Cause::Draining));
+    let again = offer_to(&mut ledger, ms(3), offer(4, run::Class::Short, 10));
+    assert_eq!(rejection(&again), Some(Cause::Tombstoned));
 }
 
 #[test]
-fn late_start() {
-    let mut ledger = present(64);
+fn start_long_after_drain_is_rejected() {
+    let mut ledger = ledger_with_backend(64);
     let mut runs_after = |number: u128, wait: Duration| {
-        let mut once = offer(number, run::Class::Short, 10);
-        (once.repeatable, once.start) = (false, false);
-        let actions = take(&mut ledger, ms(1), once);
+        let mut unrepeatable = offer(number, run::Class::Short, 10);
+        (unrepeatable.repeatable, unrepeatable.start) = (false, false);
+        let actions = offer_to(&mut ledger, ms(1), unrepeatable);
         assert_matches!(&actions[..], [Action::Reply(1, run::Reply::Reserved(_))]);
         let mut leaving = ledger.clone();
         leaving.step(ms(2), Event::Drain);
         let start = Event::Call(1, run::Call::Start(attempt(number)));
         let actions = leaving.step(ms(2) + wait, start);
-        (runs(&actions), refusal(&actions))
+        (has_run(&actions), rejection(&actions))
     };
     assert_eq!(runs_after(1, ms(100)), (true, None));
     let late = runs_after(2, ledger::LEAVING_GRACE);
@@ -228,82 +232,90 @@
 }
 
 #[test]
-fn withdrawn_attempts() {
-    let mut ledger = present(64);
-    let mut filling = offer(1, run::Class::Short, 10);
-    filling.body_len = 5;
-    assert_eq!(take(&mut ledger, ms(1), filling.clone()), []);
+fn withdrawn_attempt_never_runs() {
+    let mut ledger = ledger_with_backend(64);
+    let mut incomplete = offer(1, run::Class::Short, 10);
+    incomplete.body_len = 5;
+    assert_eq!(offer_to(&mut ledger, ms(1), incomplete.clone()), []);
     let cancel = Event::Call(2, run::Call::Cancel(attempt(1)));
-    assert_eq!(refusal(&ledger.step(ms(2), cancel)), Some(Cause::Cancelled));
-    // A late copy, with its whole body, never starts.
-    let late = take(&mut ledger, ms(3), filling);
-    assert_eq!(refusal(&late), Some(Cause::Tombstoned));
-    assert!(!runs(&ledger.step(ms(3), Event::BodyReceived(attempt(1)))));
-    // A reservation goes with its stream, at once, and its start comes too late.
-    let mut once = offer(2, run::Class::Short, 10);
-    (once.repeatable, once.start) = (false, false);
-    take(&mut ledger, ms(4), once);
+    assert_eq!(
+        rejection(&ledger.step(ms(2), cancel)),
+        Some(Cause::Cancelled)
+    );
+    // A late copy with its full body never starts.
+    let late = offer_to(&mut ledger, ms(3), incomplete);
+    assert_eq!(rejection(&late), Some(Cause::Tombstoned));
+    assert!(!has_run(
+        &ledger.step(ms(3), Event::BodyReceived(attempt(1)))
+    ));
+    // A reservation ends with its stream, and a later start is rejected.
+    let mut unrepeatable = offer(2, run::Class::Short, 10);
+    (unrepeatable.repeatable, unrepeatable.start) = (false, false);
+    offer_to(&mut ledger, ms(4), unrepeatable);
     assert_eq!(ledger.load().reserved, 1);
     ledger.step(ms(5), Event::Closed(1));
     assert_eq!(ledger.load().reserved, 0);
     let start = Event::Call(3, run::Call::Start(attempt(2)));
     let actions = ledger.step(ms(6), start);
-    assert_eq!(refusal(&actions), Some(Cause::Tombstoned));
-    assert!(!runs(&actions));
+    assert_eq!(rejection(&actions), Some(Cause::Tombstoned));
+    assert!(!has_run(&actions));
 }
 
 #[test]
-fn full_tombstones() {
-    let mut ledger = present(4);
+fn full_tombstones_admit_nothing() {
+    let mut ledger = ledger_with_backend(4);
     for number in 1..=4 {
         let query = run::Call::Query {
             attempt: attempt(number),
             offset: 0,
-            sidecar: LIFE,
+            sidecar: INCARNATION,
         };
         let actions = ledger.step(ms(1), Event::Call(1, query));
-        assert_eq!(refusal(&actions), Some(Cause::Tombstoned));
+        assert_eq!(rejection(&actions), Some(Cause::Tombstoned));
     }
-    // Nothing is forgotten, nothing is claimed that would need a place, nothing runs.
+    // No tombstone is evicted, no outcome is promised that would need one, and nothing runs.
     assert_eq!(
-        take(&mut ledger, ms(2), offer(5, run::Class::Short, 10)),
+        offer_to(&mut ledger, ms(2), offer(5, run::Class::Short, 10)),
         []
     );
-    let mut once = offer(6, run::Class::Short, 10);
-    (once.repeatable, once.start) = (false, false);
-    assert_eq!(refusal(&take(&mut ledger, ms(2), once)), Some(Cause::Busy));
+    let mut unrepeatable = offer(6, run::Class::Short, 10);
+    (unrepeatable.repeatable, unrepeatable.start) = (false, false);
+    assert_eq!(
+        rejection(&offer_to(&mut ledger, ms(2), unrepeatable)),
+        Some(Cause::Busy)
+    );
     let query = run::Call::Query {
         attempt: attempt(7),
         offset: 0,
-        sidecar: LIFE,
+        sidecar: INCARNATION,
     };
     let actions = ledger.step(ms(2), Event::Call(1, query));
     assert_matches!(&actions[..], [Action::Reply(1, run::Reply::Unknown(_))]);
     for number in 1..=4 {
-        let late = take(&mut ledger, ms(3), offer(number, run::Class::Short, 10));
-        assert_eq!(refusal(&late), Some(Cause::Tombstoned));
+        let late = offer_to(&mut ledger, ms(3), offer(number, run::Class::Short, 10));
+        assert_eq!(rejection(&late), Some(Cause::Tombstoned));
     }
 }
 
 #[test]
-fn frozen_tombstones() {
-    let mut tombs = tombstone::Tombstones::new(8);
-    tombs.tick(ms(0));
-    tombs.insert(attempt(1), Ran::NotRun);
-    // A freeze of a day does not age it: frames as old as the freeze may wait.
-    tombs.tick(Duration::from_secs(86_400));
-    assert_eq!(tombs.outcome(attempt(1)), Some(Ran::NotRun));
+fn freeze_keeps_tombstones() {
+    let mut tombstones = tombstone::Tombstones::new(8);
+    tombstones.tick(ms(0));
+    tombstones.insert(attempt(1), Ran::NotRun);
+    // A freeze of a day does not age it: frames as old as the freeze may still be queued.
+    tombstones.tick(Duration::from_secs(86_400));
+    assert_eq!(tombstones.outcome(attempt(1)), Some(Ran::NotRun));
     let mut now = Duration::from_secs(86_400);
     for _ in 0..=tombstone::TTL.as_secs() {
         now += Duration::from_secs(1);
-        tombs.tick(now);
+        tombstones.tick(now);
     }
-    assert_eq!(tombs.outcome(attempt(1)), None);
-    assert!(tombs.is_empty());
+    assert_eq!(tombstones.outcome(attempt(1)), None);
+    assert!(tombstones.is_empty());
 }
 
 #[test]
-fn orders_fence() {
+fn stale_order_is_fenced() {
     let mut fence = fence::Fence::default();
     assert_eq!(fence.pass(9), Err(Cause::NoQuorum));
     fence.learn(5);
@@ -333,11 +345,11 @@
 }
 
 #[test]
-fn unowned_memory() {
-    let mut ledger = present(64);
+fn orphan_memory_is_counted_and_freed() {
+    let mut ledger = ledger_with_backend(64);
     let actions = ledger.step(ms(10), list(&[("stray", true)], &["k1"]));
     assert_eq!(actions, []);
-    // It counts as used until it is gone.
+    // It counts as used until the list no longer has it.
     assert_eq!(ledger.load().used_tokens, 120);
     let late = ms(10) + ledger::ORPHAN_GRACE;
     let actions = ledger.step(late, list(&[("stray", true)], &["k1"]));
@@ -348,16 +360,16 @@
 }
 
 #[test]
-fn crash_report() {
-    let mut ledger = present(64);
+fn crash_reports_only_started_runs() {
+    let mut ledger = ledger_with_backend(64);
     for number in [1, 2] {
-        take(&mut ledger, ms(1), offer(number, run::Class::Short, 10));
+        offer_to(&mut ledger, ms(1), offer(number, run::Class::Short, 10));
     }
-    let mut once = offer(3, run::Class::Short, 10);
-    (once.repeatable, once.start) = (false, false);
-    take(&mut ledger, ms(1), once);
+    let mut unrepeatable = offer(3, run::Class::Short, 10);
+    (unrepeatable.repeatable, unrepeatable.start) = (false, false);
+    offer_to(&mut ledger, ms(1), unrepeatable);
     let actions = ledger.step(ms(5), Event::Announced(backend(2)));
-    // Only what ran is suspect; the reservation stands.
+    // Only started runs are suspect; the reservation stays.
     let running = vec![id::Fingerprint([1; 16]), id::Fingerprint([2; 16])];
     assert!(actions.contains(&Action::Crash {
         engine: id::Incarnation(1),
@@ -380,38 +392,42 @@
 }
 
 #[test]
-fn late_crash() {
-    let mut ledger = present(64);
-    take(&mut ledger, ms(1), offer(1, run::Class::Short, 10));
+fn later_crash_reports_lost_run() {
+    let mut ledger = ledger_with_backend(64);
+    offer_to(&mut ledger, ms(1), offer(1, run::Class::Short, 10));
     ledger.step(ms(2), Event::NotFound(attempt(1)));
-    // The list does not come: the run is lost, why shows later.
-    let past = ms(2) + ledger::REPORT_TIMEOUT;
-    let actions = ledger.step(past, Event::Tick);
+    // No list arrives: the run is lost, and the cause shows later.
+    let deadline = ms(2) + ledger::REPORT_TIMEOUT;
+    let actions = ledger.step(deadline, Event::Tick);
     assert!(
         actions
             .iter()
             .any(|action| matches!(action, Action::End(_)))
     );
-    let actions = ledger.step(past + ms(900), Event::Announced(backend(2)));
+    let actions = ledger.step(deadline + ms(900), Event::Announced(backend(2)));
     assert!(actions.contains(&Action::Crash {
         engine: id::Incarnation(1),
         running: vec![id::Fingerprint([1; 16])]
     }));
-    // A list of the same life says that it is no crash.
-    take(&mut ledger, past + ms(901), offer(2, run::Class::Short, 10));
-    ledger.step(past + ms(902), Event::NotFound(attempt(2)));
+    // A list of the same incarnation shows that it was no crash.
+    offer_to(
+        &mut ledger,
+        deadline + ms(901),
+        offer(2, run::Class::Short, 10),
+    );
+    ledger.step(deadline + ms(902), Event::NotFound(attempt(2)));
     let same = Event::List {
         incarnation: id::Incarnation(2),
         runs: Vec::new(),
         segments: Vec::new(),
     };
-    let actions = ledger.step(past + ms(903), same);
+    let actions = ledger.step(deadline + ms(903), same);
     assert_matches!(&actions[..], [Action::End(run::Reply::Failed { failure, .. })]
         if failure.cause == Cause::ServerError && failure.ran == Ran::MayHaveRun);
 }
 
 #[test]
-fn buffer_offsets() {
+fn buffer_serves_only_kept_offsets() {
     let mut buffer = buffer::Buffer::new(attempt(1), 3);
     assert!(buffer.push_tokens(3, vec!["d".to_owned(), "e".to_owned()]));
     assert!(buffer.push_tokens(4, vec!["e".to_owned(), "f".to_owned()]));
@@ -421,12 +437,12 @@
     });
     assert_eq!(buffer.next(false, 2), buffer::Next::Gone);
     assert_eq!(buffer.next(false, 6), buffer::Next::Wait);
-    // A plain service's answer: what was sent long ago is dropped, the rest can be resumed.
+    // A plain service's response: bytes sent long ago are dropped, the rest can be resumed.
     let mut bytes = buffer::Buffer::new(attempt(2), 0);
-    let part = bytes::Bytes::from(vec![1; buffer::KEPT_BYTES]);
+    let chunk = bytes::Bytes::from(vec![1; buffer::KEPT_BYTES]);
     bytes.set_head(200, Vec::new());
     for _ in 0..3 {
-        bytes.push_bytes(&part);
+        bytes.push_bytes(&chunk);
     }
     assert!(!bytes.has_capacity(0));
     bytes.mark_sent(3 * buffer::KEPT_BYTES as u64);
--- a/tests/sidecar_path.rs
+++ b/tests/sidecar_path.rs
@@ -1,5 +1,4 @@
-//! The way of a request over real links, in one process: entry, sidecars, stand-in backend
-//! servers.
+//! Requests over real links within one process: entry, sidecars and stand-in backend servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,17 +29,17 @@
 
 const KEY: &str = "key-of-the-test";
 
-/// Longest wait for anything here. No verdict rests on it.
-const BOUND: Duration = Duration::from_secs(30);
+/// Longest wait of the tests. No assertion depends on its length.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn process(name: &str) -> Arc<node::Node> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let link = listener.local_addr().unwrap();
-    listening(name, listener, link)
+    process_at(name, listener, link)
 }
 
 /// A process that others reach at `link`.
-fn listening(name: &str, listener: TcpListener, link: SocketAddr) -> Arc<node::Node> {
+fn process_at(name: &str, listener: TcpListener, link: SocketAddr) -> Arc<node::Node> {
     let settings = node::Settings {
         name: name.to_owned(),
         zone: "zone-1".to_owned(),
@@ -71,7 +70,7 @@
 }
 
 /// Adds the sidecar role.
-fn guard(node: &Arc<node::Node>, entry: &node::Node) {
+fn add_sidecar(node: &Arc<node::Node>, entry: &node::Node) {
     let settings = sidecar::Settings {
         entries: vec![entry.settings().link],
         backend_key: KEY.to_owned(),
@@ -79,7 +78,7 @@
     node.set_sidecar(sidecar::Sidecar::start(node, settings));
 }
 
-/// Keeps a backend server announced for as long as the process lives.
+/// Announces a backend server periodically until the test ends.
 fn announce(node: &Arc<node::Node>, announcement: sidecar::Announcement) {
     let node = Arc::clone(node);
     tokio::spawn(async move {
@@ -100,7 +99,7 @@
     entry: &node::Node,
     token_micros: u64,
 ) -> (Arc<node::Node>, Arc<life::Life>) {
-    guard(&node, entry);
+    add_sidecar(&node, entry);
     let name = node.settings().name.clone();
     let life = life::Life::new(life::Settings {
         scheduler: scheduler::Settings {
@@ -149,7 +148,7 @@
 
 async fn portal(entry: &node::Node) -> (Arc<node::Node>, Arc<service::Service>) {
     let node = process("portal-1").await;
-    guard(&node, entry);
+    add_sidecar(&node, entry);
     let service = Arc::new(service::Service::open(Duration::ZERO, None).unwrap());
     let addr = serve(service::server(Arc::clone(&service), KEY.to_owned())).await;
     announce(
@@ -194,11 +193,11 @@
     }
 }
 
-async fn answer(mut parts: mpsc::Receiver<entry::Part>) -> (Vec<entry::Part>, entry::Part) {
+async fn collect(mut parts: mpsc::Receiver<entry::Part>) -> (Vec<entry::Part>, entry::Part) {
     let mut all = Vec::new();
     loop {
-        let part = tokio::time::timeout(BOUND, parts.recv()).await;
-        match part.expect("in time").expect("a final word") {
+        let part = tokio::time::timeout(TEST_TIMEOUT, parts.recv()).await;
+        match part.expect("in time").expect("a final part") {
             part @ (entry::Part::Done { .. } | entry::Part::Failed(_)) => return (all, part),
             part => all.push(part),
         }
@@ -213,14 +212,14 @@
     tokens.collect()
 }
 
-/// The stand-in's answer of 20 tokens.
+/// The stand-in engine's response of 20 tokens.
 fn expected(body: &str) -> String {
     let hash = token::hash(0, body.as_bytes());
     (0..20).map(|at| token::text(hash, at)).collect()
 }
 
-async fn until(what: &str, mut done: impl AsyncFnMut() -> bool) {
-    let waited = tokio::time::timeout(BOUND, async {
+async fn wait_until(what: &str, mut done: impl AsyncFnMut() -> bool) {
+    let waited = tokio::time::timeout(TEST_TIMEOUT, async {
         while !done().await {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -228,8 +227,8 @@
     assert!(waited.await.is_ok(), "{what}");
 }
 
-async fn present(entry: &node::Node, count: usize) {
-    until("backend servers are present", async || {
+async fn wait_for_servers(entry: &node::Node, count: usize) {
+    wait_until("backend servers are present", async || {
         let servers = entry.entry().unwrap().servers().await;
         servers.is_some_and(|servers| servers.len() == count)
     })
@@ -237,22 +236,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn whole_path() {
+async fn requests_complete_over_links() {
     let entry = entry().await;
     let (_first, life) = engine(1, &entry).await;
     let (_second, service) = portal(&entry).await;
-    present(&entry, 2).await;
+    wait_for_servers(&entry, 2).await;
     let long = "a long prompt ".repeat(40_000);
     for (number, repeatable, body) in [(1, true, "short"), (2, false, "once"), (3, true, &*long)] {
         let parts = entry
             .entry()
             .unwrap()
             .submit(submission(number, repeatable, body));
-        let (parts, last) = answer(parts).await;
+        let (parts, last) = collect(parts).await;
         assert_matches!(last, entry::Part::Done { usage, .. } if usage.output_tokens == 20);
         assert_eq!(text(&parts), expected(body));
     }
-    until("memory is free", async || {
+    wait_until("memory is free", async || {
         life.with(|scheduler, _| scheduler.used()) == 0
     })
     .await;
@@ -263,26 +262,26 @@
         path: "/shifts/1".to_owned(),
         headers: vec![("x-count".to_owned(), "value".to_owned())],
     };
-    let (parts, last) = answer(entry.entry().unwrap().submit(call)).await;
+    let (parts, last) = collect(entry.entry().unwrap().submit(call)).await;
     assert_matches!(last, entry::Part::Done { .. });
     assert_matches!(parts[0], entry::Part::Head { status: 200, .. });
     assert_eq!(service.runs("value"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn drained_sidecar() {
+async fn drained_sidecar_rejects_work() {
     let entry = entry().await;
     let (node, life) = engine(1, &entry).await;
-    present(&entry, 1).await;
+    wait_for_servers(&entry, 1).await;
     node.drain();
-    until("the entry knows", async || {
+    wait_until("the entry knows", async || {
         let servers = entry.entry().unwrap().servers().await.unwrap_or_default();
         servers.iter().any(|server| server.leaving)
     })
     .await;
     let mut late = submission(1, true, "late");
     late.limit = Duration::from_secs(2);
-    let (_, last) = answer(entry.entry().unwrap().submit(late)).await;
+    let (_, last) = collect(entry.entry().unwrap().submit(late)).await;
     assert_matches!(last, entry::Part::Failed(failure) => {
         assert_eq!(failure.ran, Ran::NotRun);
         assert_ne!(failure.cause, Cause::Internal);
@@ -297,21 +296,22 @@
     let target = listener.local_addr().unwrap();
     let listen = "127.0.0.1:0".parse().unwrap();
     let pair = proxy::Pair::open("sidecar", listen, target).await.unwrap();
-    let node = listening("pool-1", listener, pair.addr);
+    let node = process_at("pool-1", listener, pair.addr);
     let (_, life) = engine_of(node, entry, 100_000).await;
     (pair, life)
 }
 
-/// Sends a request that is not repeatable, strikes once its answer has begun, and mends after.
-async fn struck(modes: &[proxy::Mode]) -> (String, entry::Part, Arc<life::Life>) {
+/// Sends a request that is not repeatable, injects link faults once its response has begun, and
+/// removes them later.
+async fn request_with_link_fault(modes: &[proxy::Mode]) -> (String, entry::Part, Arc<life::Life>) {
     let entry = entry().await;
     let (pair, life) = engine_behind(&entry).await;
-    present(&entry, 1).await;
+    wait_for_servers(&entry, 1).await;
     let mut parts = entry.entry().unwrap().submit(submission(1, false, "once"));
     let mut all = Vec::new();
     loop {
-        let part = tokio::time::timeout(BOUND, parts.recv()).await;
-        match part.expect("in time").expect("a final word") {
+        let part = tokio::time::timeout(TEST_TIMEOUT, parts.recv()).await;
+        match part.expect("in time").expect("a final part") {
             part @ (entry::Part::Done { .. } | entry::Part::Failed(_)) => {
                 return (text(&all), part, life);
             }
@@ -321,10 +321,10 @@
             for mode in modes {
                 pair.set(*mode);
             }
-            let pair_open = pair.connections();
-            assert!(pair_open > 0, "the link goes through the proxy");
+            let connections = pair.connections();
+            assert!(connections > 0, "the link goes through the proxy");
             if modes.last() != Some(&proxy::Mode::Pass) {
-                // Longer than the heartbeat takes to notice.
+                // Longer than the heartbeat needs to detect the fault.
                 tokio::time::sleep(Duration::from_millis(2_600)).await;
                 pair.set(proxy::Mode::Pass);
             }
@@ -333,14 +333,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn resumed_answer() {
-    // The link is reset; it goes silent; its connections freeze.
-    let strikes: [&[proxy::Mode]; 3] = [
+async fn response_resumes_after_link_fault() {
+    // The link is reset; it drops everything; its connections freeze.
+    let faults: [&[proxy::Mode]; 3] = [
         &[proxy::Mode::Reset, proxy::Mode::Pass],
         &[proxy::Mode::Drop(None)],
         &[proxy::Mode::Freeze],
     ];
-    let [reset, silent, frozen] = strikes.map(struck);
+    let [reset, silent, frozen] = faults.map(request_with_link_fault);
     let (reset, silent, frozen) = tokio::join!(reset, silent, frozen);
     for (text, last, life) in [reset, silent, frozen] {
         assert_matches!(last, entry::Part::Done { .. });
