--- a/src/sidecar/ledger.rs
+++ b/src/sidecar/ledger.rs
@@ -40,8 +40,7 @@
 /// Interval between reads of the engine's list of runs.
 pub const LIST_PERIOD: Duration = Duration::from_secs(2);
 
-/// The same while a segment is held: a held segment has no stream that would break if its engine
-/// died.
+/// The same while a segment is held, as nothing else shows that its engine died.
 pub const HELD_LIST_PERIOD: Duration = Duration::from_millis(500);
 
 /// Delay before another try to stop a run or to reach the backend server.
@@ -234,7 +233,7 @@
     resume_at: Option<Duration>,
     /// Whether its prefill has ended.
     prefilled: bool,
-    /// Its part in a prompt that is larger than one engine.
+    /// Its role in a prompt that is larger than one engine.
     role: segment::Role,
 }
 
@@ -249,7 +248,7 @@
 /// Attempts, tombstones and kept responses of one backend server.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    /// Of the sidecar.
+    /// Incarnation of the sidecar. Offers to another one are rejected.
     incarnation: id::Incarnation,
     backend: Option<Backend>,
     /// When the announcement expires.
--- a/src/sidecar/ledger/call.rs
+++ b/src/sidecar/ledger/call.rs
@@ -32,7 +32,7 @@
             return out.push(Action::Reply(stream, reply));
         }
         if self.records.contains_key(&attempt) || self.kept_responses.contains_key(&attempt) {
-            // A duplicate.
+            // A duplicate: the first offer counts.
             return;
         }
         if let Some(ran) = self.tombstones.outcome(attempt) {
--- a/src/sidecar/ledger/segment.rs
+++ b/src/sidecar/ledger/segment.rs
@@ -17,7 +17,7 @@
 use crate::wire::outcome::Cause;
 use crate::wire::run;
 
-/// Part of an attempt in a prompt that is larger than one engine.
+/// Role of an attempt in a prompt that is larger than one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// None, or a final run with a reservation of its own.
