--- a/src/entry/gang/plan.rs
+++ b/src/entry/gang/plan.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 
 use crate::entry::request;
-use crate::sidecar::room;
+use crate::sidecar::capacity;
 
 /// Most engines that serve one prompt.
 pub const MAX_MEMBERS: usize = 16;
@@ -63,7 +63,7 @@
 
 /// Tokens of memory that the last member reserves for the final run.
 pub fn final_run_tokens(max_tokens: u32) -> u64 {
-    room::segment(MAX_TAIL_TOKENS, u64::from(max_tokens))
+    capacity::segment_cost(MAX_TAIL_TOKENS, u64::from(max_tokens))
 }
 
 /// Chooses the fewest members for a prompt of `tokens`. If that length is a guess, no more is
@@ -77,7 +77,7 @@
             .then(a.target.server.cmp(&b.target.server))
     });
     let final_tokens = final_run_tokens(max_tokens);
-    let need = room::segment(tokens, final_tokens);
+    let need = capacity::segment_cost(tokens, final_tokens);
     let total = total_memory(candidates, |c| c.memory);
     let need_now = if is_guess {
         need.min(total / GUESS_MEMORY_PARTS * (GUESS_MEMORY_PARTS - 1))
@@ -137,7 +137,7 @@
     let capacities: Vec<u64> = members
         .iter()
         .enumerate()
-        .map(|(at, c)| room::segment_within(c.free, if at == last { final_tokens } else { 0 }))
+        .map(|(at, c)| capacity::max_segment(c.free, if at == last { final_tokens } else { 0 }))
         .collect();
     let sum: u64 = capacities.iter().sum();
     let is_too_small = sum + members.len() as u64 <= tokens;
--- a/tests/request_matrix/inject.rs
+++ b/tests/request_matrix/inject.rs
@@ -27,7 +27,7 @@
                 if let Msg::Line(server, incarnation, attempt, ..) = msg {
                     self.put(
                         HOP_DELAY,
-                        Msg::ToLedger(*server, *incarnation, ledger::Event::Cut(*attempt)),
+                        Msg::ToLedger(*server, *incarnation, ledger::Event::Disconnected(*attempt)),
                     );
                 }
                 if let Msg::ToBackend(
@@ -38,7 +38,7 @@
                 {
                     self.put(
                         HOP_DELAY,
-                        Msg::ToLedger(*server, *incarnation, ledger::Event::Cut(*attempt)),
+                        Msg::ToLedger(*server, *incarnation, ledger::Event::Disconnected(*attempt)),
                     );
                 }
                 return false;
@@ -186,7 +186,7 @@
         for attempt in cut {
             self.put(
                 HOP_DELAY,
-                Msg::ToLedger(server, incarnation, ledger::Event::Cut(attempt)),
+                Msg::ToLedger(server, incarnation, ledger::Event::Disconnected(attempt)),
             );
         }
     }
--- a/tests/request_matrix/world.rs
+++ b/tests/request_matrix/world.rs
@@ -357,7 +357,7 @@
                         let incarnation = self.sidecars[server].incarnation;
                         self.put(
                             HOP_DELAY,
-                            Msg::ToLedger(server, incarnation, ledger::Event::Reported),
+                            Msg::ToLedger(server, incarnation, ledger::Event::CrashReported),
                         );
                     }
                     _ => {}
