--- a/src/direct/congestion.rs
+++ b/src/direct/congestion.rs
@@ -7,8 +7,8 @@
 //! their time and be abandoned, or take the whole lane for 2 s while five others became late.
 //!
 //! So while others wait, a prompt that would occupy the whole fleet for long is rejected with a
-//! retry-after time, on arrival or as soon as others queue behind it. If this is checked only on
-//! arrival, the goodput over 20 days is 0.675, at any time 0.691.
+//! retry-after time, on arrival or as soon as others queue behind it. If this were checked only on
+//! arrival, one that came just before a burst would keep the shorter ones behind it waiting.
 
 use std::time::Duration;
 
@@ -19,14 +19,13 @@
 /// lasts; bursts last ten. Also the time after which a retry is worthwhile.
 const DECAY: Duration = Duration::from_secs(2);
 
-/// Share of the recent past with a queue from which the longest prompts are rejected. The goodput
-/// over 20 days is 0.669 without, 0.684 at 0.5, 0.692 at 0.25.
+/// Share of the recent past with a queue from which the longest prompts are rejected. With a higher
+/// one they still take the reading lane while a queue builds up, and shorter prompts become late.
 const REJECT_LEVEL: f64 = 0.25;
 
 /// Share of its objective for which a prompt may occupy the whole fleet while others wait. With 4 s
 /// on 14 servers that is the time of four or five prompts of 182,000 tokens, or one of 430,000. At
-/// 0.2 the goodput is the same, but only a third of the largest tenth is answered; admitting four
-/// in ten of them at random costs 0.015.
+/// 0.2 only a third of the largest tenth of prompts is answered, and nothing is gained by it.
 const HOLD_SHARE: f64 = 0.32;
 
 /// How much long prompts waited recently on any entry, as far as this one knows.
--- a/src/direct/deadline.rs
+++ b/src/direct/deadline.rs
@@ -24,13 +24,13 @@
 const MIN_HOLD_LEFT: Duration = Duration::from_millis(900);
 
 /// Weight of the time waited in the rank of a long prompt: after one objective it ranks like a
-/// prompt a third as long. Between 1 and 4 the goodput differs by less than 0.01.
+/// prompt a third as long. Without this, the longer prompts would wait behind each shorter one.
 const AGING: f64 = 2.0;
 
 /// A late prompt whose caller will abandon it within this time goes before others, by this factor
-/// on its rank. Without this and the weight of waiting, a share of 0.33 is answered of the fifth
-/// below the largest tenth of prompts, of all prompts 0.70, with 78 servers; either alone gives
-/// 0.30. Together they cost 0.01 to 0.02 of goodput on smaller deployments.
+/// on its rank. Without this and the weight of waiting, the longer prompts are overtaken until
+/// their callers leave: of the fifth below the largest tenth only a third is answered. Smaller
+/// deployments lose a little goodput by it.
 const LAST_CHANCE: Duration = Duration::from_secs(4);
 const LAST_CHANCE_GAIN: u32 = 2;
 
--- a/src/direct/lane.rs
+++ b/src/direct/lane.rs
@@ -13,14 +13,12 @@
 const MIN_SERVERS: usize = 4;
 
 /// Share of the slots of their lane that requests with tight gap limits are meant to take. With 0.7
-/// the long prompts lack servers: the goodput over seven days of two deployments is 0.564 and
-/// 0.675, with 1 it is 0.609 and 0.721. With 1.2 the short prompts suffer (0.702).
+/// the long prompts lack servers; with 1.2 the short prompts wait for slots.
 const FILL_SHARE: f64 = 1.0;
 
 /// The same where servers are plentiful: requests of other entries that are not reported yet fill a
-/// packed server beyond its slots. Of 5,537 and 5,387 short prompts of two days with 112 servers
-/// 541 and 359 are late with it, 724 and 849 without. With 0.4 long prompts lack servers: the
-/// goodput over four days is 0.659, with 0.6 it is 0.685.
+/// packed server beyond its slots. Without this 849 of 5,387 short prompts are late on 112 servers,
+/// with it 359. With 0.4 the long prompts lack servers.
 const SPARE_FILL_SHARE: f64 = 0.6;
 
 /// Servers for long prompts beyond which one more gains nothing: as many as one prompt is split
@@ -86,8 +84,7 @@
     // Servers with the fewest tight gap limits first, since they are free soonest. Then those on
     // which long answers are written already: while a server writes, one segment that it reads
     // holds up all others there until its pass ends, 2.4 s for a segment of 479,000 tokens. Without
-    // this the border leaves writers in the reading lane, and the goodput over 20 days is 0.646
-    // instead of 0.666.
+    // this the border would leave such writers in the reading lane.
     rest.sort_by_key(|at| {
         let load = &servers[*at].load;
         let writes = load.writers > load.tight;
--- a/src/direct/membership.rs
+++ b/src/direct/membership.rs
@@ -27,8 +27,8 @@
 const NEW_FOR: Duration = Duration::from_secs(2);
 
 /// Other processes that a greeting lists, different ones each time. With 70 processes, the list of
-/// all of them would make up nine tenths of a greeting: traffic between zones was 0.40 GB in 48 s
-/// with all of them and 0.14 GB with 8.
+/// all of them would make up nine tenths of a greeting, and the traffic between zones would be
+/// three times as much: 0.40 GB in 48 s.
 const MAX_OLD: usize = 8;
 
 /// Recently joined processes that a greeting lists: its datagram fits into one Ethernet packet.
--- a/src/direct/place.rs
+++ b/src/direct/place.rs
@@ -26,8 +26,8 @@
 /// old.
 const GAP_SHARE: f64 = 0.85;
 
-/// Servers count as full if the first event is predicted after this many objectives. With 1 the
-/// goodput over 20 days on a deployment with few such overloads is 0.690, with 2 it is 0.701.
+/// Servers count as full if the first event is predicted after this many objectives. With 1, short
+/// prompts that would be only a little late are held back on the entry, and become later.
 const FULL_OBJECTIVES: f64 = 2.0;
 
 /// A first event that is predicted within this share of the time left is reliably on time: for one
@@ -109,9 +109,8 @@
 
 impl Place {
     /// Whether even this best place is so full that a short prompt should wait on the entry. In the
-    /// queue of the server it makes all later requests late until their callers leave: 50 of 375
-    /// were on time in each two seconds of an overload. Over three days with an overload the
-    /// goodput is 0.50 without this rule and 0.54 with it.
+    /// queue of the server it makes all later requests late until their callers leave: in an
+    /// overload only 50 of 375 were on time in each two seconds.
     pub fn is_full(&self, objective: Duration) -> bool {
         self.first_ms > objective.as_secs_f64() * 1e3 * FULL_OBJECTIVES
     }
@@ -153,7 +152,7 @@
 
 /// Places a long prompt that takes its turn. It avoids servers that write answers with tight gap
 /// limits if it is still on time then and other prompts can be read at the same time. On a narrower
-/// lane all servers are needed: with 23 leaving some out makes 0.04 of the long prompts miss their
+/// lane all servers are needed: with 23, leaving some out makes one in 25 long prompts miss its
 /// objective.
 fn by_turn(engine: &model::Engine, need: &Need, servers: &[Server]) -> Option<Place> {
     // A prompt that has just arrived needs its lane as much as one that waits.
--- a/src/direct/place/long.rs
+++ b/src/direct/place/long.rs
@@ -83,8 +83,7 @@
 const MIN_REMAINING_SHARE: f64 = 0.75;
 
 /// Leaves out servers whose writers would pause for too long, if nearly all others are free.
-/// Together with the choice of helpers for shorter prompts and the wait for a first event this
-/// raises the goodput over 20 days from 0.666 to 0.669.
+/// Otherwise each long prompt would make a gap that is too long in the answers written there.
 fn without_writers(
     engine: &model::Engine,
     need: &place::Need,
@@ -184,8 +183,8 @@
 
 /// Prompts that a lane must be wide enough to read at once before each is given only as many
 /// servers as keep it on time. Narrower lanes are better used by one prompt after the other, each
-/// on all servers. Of 854 callers of a burst on 112 servers 820 are served on time with this, 807
-/// without; with 14 servers it changes nothing.
+/// on all servers. Without this 47 of 854 callers of a burst on 112 servers are not served on time,
+/// with it 34.
 const MIN_PARALLEL: usize = 3;
 
 /// Number of servers that read a prompt soon enough to be on time.
--- a/src/direct/place/short.rs
+++ b/src/direct/place/short.rs
@@ -20,9 +20,8 @@
 
 /// Servers of a lane that are compared for one request. Entries choose by what they knew of each
 /// other some 50 ms ago. In that time 70 entries send a dozen requests, and if each compared all
-/// servers, all would choose the same one. With 112 servers in a burst of 2,272 requests 1,591 are
-/// on time if all are compared, 2,118 with 12, and 2,187 with 4; over four days the goodput is
-/// 0.656 with all, 0.703 with 12, and 0.697 with 5.
+/// servers, all would choose the same one: with 112 servers 681 of 2,272 requests of a burst are
+/// not on time if all are compared, 85 with this many.
 const SAMPLE_SIZE: usize = 4;
 
 /// Places a prompt that does not take a turn. Its answer is written in the lane for tight gap
@@ -105,7 +104,7 @@
 
 /// Milliseconds until a server starts a new segment. Where a long prompt is read beside writers,
 /// that is with the next pass; where nothing is written, the segment goes before all other work.
-/// Without this the goodput over 20 days is 0.646, with it 0.656.
+/// Without this a prompt's first event would be predicted too early beside writers.
 fn start_delay_ms(server: &place::Server) -> u32 {
     let load = &server.load;
     if load.writers > 0 && load.long > 0 {
--- a/src/direct/place/split.rs
+++ b/src/direct/place/split.rs
@@ -10,8 +10,8 @@
 use crate::direct::place::long;
 
 /// Target reading time of a segment in milliseconds. Shorter ones gain little: a first event waits
-/// for the end of a pass, which takes as long. Of 854 callers of a burst on 112 servers 820 are
-/// served on time with segments beside writers, 789 without.
+/// for the end of a pass, which takes as long. Without segments beside writers 65 of 854 callers of
+/// a burst on 112 servers are not served on time, with them 34.
 const SEGMENT_MS: f64 = 100.0;
 
 /// Servers with capacity that there must be for each one that is taken. If a prompt took a larger
--- a/src/direct/quota.rs
+++ b/src/direct/quota.rs
@@ -102,7 +102,7 @@
 /// Time after which a limit that was not confirmed may have ended.
 const STALE_AFTER: Duration = Duration::from_secs(6);
 
-/// Longest time after which callers are told to retry.
+/// Longest retry-after time that callers get.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
 
 /// Time after which to retry if the limit gives no better estimate.
@@ -125,7 +125,7 @@
 #[derive(Debug, Default)]
 pub struct Quotas {
     by_server: HashMap<u64, State>,
-    /// By service: when the next caller may be told to retry.
+    /// By service: the earliest time for the next caller's retry.
     next_retry: HashMap<String, Duration>,
 }
 
--- a/src/direct/retry.rs
+++ b/src/direct/retry.rs
@@ -91,7 +91,7 @@
     matches!(failure, Failure::Broken) && !route.repeatable()
 }
 
-/// What a caller is told when there is no response to pass on.
+/// The answer to a caller when there is no response to pass on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The request did not run and will not; retry after this time.
@@ -105,7 +105,7 @@
 /// Least and most time after which a caller is asked to retry.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 
-/// What the caller is told after the last attempt.
+/// The answer to the caller after the last attempt.
 pub fn reply(failure: &Failure, history: History, left: Duration) -> Reply {
     if let Failure::Limited(retry_after) = failure
         && history.ran == 0
--- a/src/edge/direct.rs
+++ b/src/edge/direct.rs
@@ -208,7 +208,7 @@
         self.unless_stopping(timeout, waiting).await
     }
 
-    /// Awaits `waiting` up to `timeout`. `None`: it timed out, or this process is told to stop.
+    /// Awaits `waiting` up to `timeout`. `None`: it timed out, or this process got the stop signal.
     async fn unless_stopping<T>(
         &self,
         timeout: Duration,
--- a/src/edge/direct/choose.rs
+++ b/src/edge/direct/choose.rs
@@ -96,12 +96,12 @@
     fn choose(self: &Arc<Self>, context: &Context, reading: Reading) -> Choice {
         let now = self.node.now();
         let mut state = self.state();
-        let eligibility::Candidates { records, part } =
+        let eligibility::Candidates { records, subset } =
             eligibility::candidates(&state, now, context);
         if records.is_empty() {
             return Choice::NoServer;
         }
-        let servers = self.servers(&mut state, now, &records, part);
+        let servers = self.servers(&mut state, now, &records, subset);
         let has_waiting = state.loads.has_waiting(now);
         let placed = match reading {
             Reading::InTurn => find(context, &servers, has_waiting),
@@ -202,13 +202,15 @@
     pub(super) fn has_better_server(&self, context: &Context, server: &register::Instance) -> bool {
         let now = self.node.now();
         let mut state = self.state();
-        let eligibility::Candidates { mut records, part } =
-            eligibility::candidates(&state, now, context);
+        let eligibility::Candidates {
+            mut records,
+            subset,
+        } = eligibility::candidates(&state, now, context);
         records.retain(|record| record.life != *server);
         if records.is_empty() {
             return false;
         }
-        let servers = self.servers(&mut state, now, &records, part);
+        let servers = self.servers(&mut state, now, &records, subset);
         let has_waiting = state.loads.has_waiting(now);
         let writing = context.write_time_bound(&state.writing);
         drop(state);
@@ -230,10 +232,10 @@
         state: &mut super::State,
         now: Duration,
         records: &[register::Record],
-        part: subset::Subset,
+        subset: subset::Subset,
     ) -> Vec<place::Server> {
         let zone = &self.node.settings().zone;
-        let view = state.loads.view_subset(now, part);
+        let view = state.loads.view_subset(now, subset);
         let server = |record: &register::Record| {
             let key = load::server_key(&record.life);
             place::Server {
--- a/src/edge/direct/context.rs
+++ b/src/edge/direct/context.rs
@@ -48,7 +48,7 @@
     pub version: u64,
     /// The stage that it is in, for logs and metrics.
     pub progress: progress::Progress,
-    /// When this process exits, once it was told to stop.
+    /// When this process exits, once it got the stop signal.
     pub lifetime: lifetime::Lifetime,
 }
 
--- a/src/edge/direct/daemon.rs
+++ b/src/edge/direct/daemon.rs
@@ -78,7 +78,7 @@
     pub reload: Reload,
 }
 
-/// Runs a process until it is told to stop.
+/// Runs a process until its stop signal.
 pub fn run<A: listener::Handler>(setup: Setup, platform: Platform<A>) -> anyhow::Result<()> {
     let json = slog_json::Json::default(io::stdout()).fuse();
     let (drain, guard) = slog_async::Async::new(json)
--- a/src/edge/direct/eligibility.rs
+++ b/src/edge/direct/eligibility.rs
@@ -13,7 +13,7 @@
 /// Servers that a request may go to, and the subset of the fleet that they were taken from.
 pub(super) struct Candidates {
     pub(super) records: Vec<register::Record>,
-    pub(super) part: subset::Subset,
+    pub(super) subset: subset::Subset,
 }
 
 /// Servers without a request limit that a request may go to. Takes the healthy ones of the
@@ -24,22 +24,22 @@
         .register
         .ready_with_keys(now, &context.service)
         .collect();
-    let part = subset::Subset::draw(ready.len(), context.need().draw);
-    if part != subset::Subset::WHOLE {
+    let subset = subset::Subset::draw(ready.len(), context.need().draw);
+    if subset != subset::Subset::WHOLE {
         let in_subset: Vec<register::Ready<'_>> = ready
             .iter()
-            .filter(|server| part.contains(server.key))
+            .filter(|server| subset.contains(server.key))
             .copied()
             .collect();
         let healthy = healthy(state, now, context, &in_subset);
         if !healthy.unlimited.is_empty() {
             let records = healthy.unlimited;
-            return Candidates { records, part };
+            return Candidates { records, subset };
         }
     }
     Candidates {
         records: of_whole_fleet(state, now, context, &ready),
-        part: subset::Subset::WHOLE,
+        subset: subset::Subset::WHOLE,
     }
 }
 
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -102,21 +102,21 @@
             Reason::OthersFull => OTHERS_FULL_WAIT,
             Reason::OnlyLimited => context.time_budget().grant_timeout(),
         };
-        let slot = match self
+        let grant = match self
             .request_grant(&context.service, &servers, max_wait)
             .await
         {
-            Ok(slot) => slot,
+            Ok(grant) => grant,
             Err(retry_after) => {
                 self.record_denial(context, reason, servers.len(), retry_after);
                 return Err(retry_after);
             }
         };
-        candidates.retain(|candidate| candidate.server.key == slot.server);
+        candidates.retain(|candidate| candidate.server.key == grant.server);
         let Some(candidate) = candidates.pop() else {
             return Ok(None);
         };
-        time::sleep(slot.wait).await;
+        time::sleep(grant.wait).await;
         let (records, servers) = ([candidate.record], [candidate.server]);
         let assignment = self.assign(self.state(), context, &records, &servers, candidate.place);
         Ok(Some(assignment))
@@ -226,13 +226,13 @@
                 .filter_map(|server| state.quotas.report(*server));
             reports.collect()
         };
-        let ask = gossip::Request {
+        let request = gossip::Request {
             number,
             service: service.to_owned(),
             words: reports,
             most: max_wait,
         };
-        self.send_to(grantor, gossip::Message::Ask(ask));
+        self.send_to(grantor, gossip::Message::Ask(request));
         let granted = time::timeout(ASK_TIMEOUT, rx).await;
         self.grant_requests().pending.remove(&number);
         granted.ok()?.ok()
@@ -255,14 +255,14 @@
     }
 
     /// Answers a grant request of another entry.
-    pub(super) fn answer_grant_request(&self, ask: &gossip::Request) -> gossip::Grant {
-        self.receive_limit_reports(&ask.words);
-        let servers: Vec<u64> = ask.words.iter().map(|report| report.server).collect();
-        let granted = self.grant(&ask.service, &servers, ask.most);
+    pub(super) fn answer_grant_request(&self, request: &gossip::Request) -> gossip::Grant {
+        self.receive_limit_reports(&request.words);
+        let servers: Vec<u64> = request.words.iter().map(|report| report.server).collect();
+        let granted = self.grant(&request.service, &servers, request.most);
         gossip::Grant {
-            number: ask.number,
-            server: granted.ok().map(|slot| slot.server),
-            wait: granted.map_or_else(|retry_after| retry_after, |slot| slot.wait),
+            number: request.number,
+            server: granted.ok().map(|grant| grant.server),
+            wait: granted.map_or_else(|retry_after| retry_after, |grant| grant.wait),
         }
     }
 
@@ -303,8 +303,8 @@
     /// Entries in the order in which they grant for a service: the grantor, its deputy, the rest.
     fn grantors(&self, service: &str) -> Vec<SocketAddr> {
         let mut entries: Vec<SocketAddr> = {
-            let roster = self.membership();
-            let all = roster.all().filter(|peer| peer.serves);
+            let membership = self.membership();
+            let all = membership.all().filter(|peer| peer.serves);
             all.map(|peer| peer.link).collect()
         };
         if !self.node.draining() || entries.is_empty() {
--- a/src/edge/direct/mesh.rs
+++ b/src/edge/direct/mesh.rs
@@ -393,8 +393,8 @@
                     .record_crash(now, request, &server);
             }
             gossip::Message::Limits(reports) => self.direct.receive_limit_reports(&reports),
-            gossip::Message::Ask(ask) => {
-                let grant = self.direct.answer_grant_request(&ask);
+            gossip::Message::Ask(request) => {
+                let grant = self.direct.answer_grant_request(&request);
                 self.send(gossip::Message::Grant(grant), &[from.link]);
             }
             gossip::Message::Grant(grant) => self.direct.receive_grant(grant),
@@ -446,12 +446,12 @@
 }
 
 async fn fetch(node: &Arc<node::Node>, from: SocketAddr) {
-    let ask = rpc::Ask::Document {
+    let request = rpc::Ask::Document {
         have: node.documents().version(),
     };
     // If this fails, the next datagram of a process with a newer document starts another fetch.
     if let Ok(rpc::Answer::Document(Some(document))) =
-        node.link(from).ask(&ask, FETCH_TIMEOUT).await
+        node.link(from).ask(&request, FETCH_TIMEOUT).await
     {
         node.documents().install(document);
     }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -123,10 +123,10 @@
 
     /// Starts a prompt and returns when its first event comes.
     fn start(&mut self, now: Duration, prompt: u64, place: Place) -> Duration {
-        let part = Duration::from_secs_f64(place.segment_ms / 1e3);
+        let read_time = Duration::from_secs_f64(place.segment_ms / 1e3);
         let mut read_at = now;
         for at in place.helpers.iter().chain([&place.writer]) {
-            self.free_at[*at] = self.free_at[*at].max(now) + part;
+            self.free_at[*at] = self.free_at[*at].max(now) + read_time;
             read_at = read_at.max(self.free_at[*at]);
         }
         let read_at = read_at + PASS;
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -199,7 +199,7 @@
     assert!((health.pace(&next) - 1.0).abs() < 1e-9);
     assert!(health.failure_rate(NOW, &next) <= 0.0);
     let mut table = load::Table::default();
-    let part = load::Segment {
+    let segment = load::Segment {
         server: load::server_key(&former),
         read_ms: 900.0,
         memory: 5_000,
@@ -207,7 +207,7 @@
     table.insert(
         NOW,
         load::Claim {
-            segments: vec![part],
+            segments: vec![segment],
             prompt: 5_000,
             answer: 100,
             bound_ms: 250,
