--- a/src/direct/budget.rs
+++ b/src/direct/budget.rs
@@ -19,9 +19,9 @@
     pub slack: f64,
 }
 
-/// Part of the limit that is used. Entries start and stop, so two of them may for a moment disagree
-/// about their number.
-const USED_PART: f64 = 0.6;
+/// Share of the limit that is used. Entries start and stop, so two of them may for a moment
+/// disagree about their number.
+const USED_SHARE: f64 = 0.6;
 
 /// Times of a service's requests and retries within the window.
 #[derive(Debug, Default)]
@@ -57,7 +57,7 @@
         let limit = self.limit;
         let account = self.account(now, service);
         let own_slack = limit.slack / entries.max(1) as f64;
-        let allowed = (account.requests.len() as f64 * limit.ratio + own_slack) * USED_PART;
+        let allowed = (account.requests.len() as f64 * limit.ratio + own_slack) * USED_SHARE;
         if account.retries.len() as f64 + 1.0 > allowed.max(1.0) {
             return false;
         }
--- a/src/direct/congestion.rs
+++ b/src/direct/congestion.rs
@@ -66,9 +66,9 @@
         if self.level < REJECT_LEVEL || !place::is_long(engine, need) {
             return None;
         }
-        // Where several prompts are read at once, each occupies its part of the servers only:
-        // counted by its own width alone, 54 servers rejected a prompt that takes 0.8 s of their
-        // time.
+        // Where several prompts are read at once, each occupies only some of the servers, and its
+        // time is spread over all of them. Otherwise 54 servers would reject a prompt that takes
+        // 0.8 s of their time.
         let width = servers.clamp(1, place::MAX_WIDTH);
         let in_parallel = (servers / place::MAX_WIDTH).max(1);
         let fleet_ms = engine.read_ms(need.prompt, width * in_parallel);
--- a/src/direct/model.rs
+++ b/src/direct/model.rs
@@ -37,7 +37,7 @@
 }
 
 impl Engine {
-    /// Milliseconds that each of `width` engines takes to read its part of a prompt of `tokens`,
+    /// Milliseconds that each of `width` engines takes to read its segment of a prompt of `tokens`,
     /// split evenly.
     pub fn read_ms(&self, tokens: u64, width: usize) -> f64 {
         let tokens = tokens as f64;
--- a/src/edge/direct/grant.rs
+++ b/src/edge/direct/grant.rs
@@ -245,13 +245,13 @@
         max_wait: Duration,
     ) -> Result<quota::Grant, Duration> {
         let now = self.node.now();
-        let account = if self.grantors(service).first() == Some(&self.own_link()) {
+        let grantor = if self.grantors(service).first() == Some(&self.own_link()) {
             quota::Grantor::Primary
         } else {
             quota::Grantor::Deputy
         };
         let mut state = self.state();
-        state.quotas.grant(now, service, servers, max_wait, account)
+        state.quotas.grant(now, service, servers, max_wait, grantor)
     }
 
     /// Answers a grant request of another entry.
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -243,10 +243,10 @@
     sum
 }
 
-/// Nine in ten are on time in a burst that asks for two thirds of what the fleet reads. Of 854
-/// callers 726 are on time if all wait in one queue for up to 17 servers each, 820 if several
-/// prompts are read at once, on as few servers as keep them on time, and beside writers that have
-/// the capacity.
+/// Nine in ten are on time in a burst that asks for two thirds of what the fleet reads, since
+/// several prompts are read at once, on as few servers as keep them on time, and beside writers
+/// that have the capacity. If all waited in one queue for up to 17 servers each, 128 of 854 would
+/// not be on time.
 #[test]
 fn long_burst() {
     let burst = all(8.4);
--- a/tests/load_bulletin.rs
+++ b/tests/load_bulletin.rs
@@ -1,4 +1,5 @@
-//! Load reports between entries, for servers that each entry uses rarely.
+//! Load reports between entries, for servers that each entry uses rarely. Guards against busy
+//! servers that look idle.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/tests/long_strays.rs
+++ b/tests/long_strays.rs
@@ -1,4 +1,4 @@
-//! Whose gaps a long prompt stretches at the end of a burst of short ones.
+//! Guards against long prompts that stretch the gaps of other answers while servers are idle.
 //!
 //! A burst of short requests ends, its last answers are still being written on half of the servers,
 //! and long prompts arrive.
@@ -68,7 +68,7 @@
             draw,
             ..engines::long(220_000)
         };
-        let place = place::engine(&engine(), &need, &servers, true).expect("there is room");
+        let place = place::engine(&engine(), &need, &servers, true).expect("there is capacity");
         assert_eq!(disturbed(&place, &servers), 0, "{place:?}");
         assert!(place.first_ms < 2_400.0, "{place:?}");
     }
@@ -79,7 +79,7 @@
 fn late_reads_beside_writers() {
     let servers = servers(14, 1);
     let place = place::engine(&engine(), &engines::long(220_000), &servers, true);
-    let place = place.expect("there is room");
+    let place = place.expect("there is capacity");
     assert!(place.helpers.len() > 4, "{place:?}");
     assert!(place.first_ms < 4_000.0, "{place:?}");
 }
@@ -92,6 +92,6 @@
         objective: Duration::ZERO,
         ..engines::long(220_000)
     };
-    let place = place::engine(&engine(), &need, &servers, true).expect("there is room");
+    let place = place::engine(&engine(), &need, &servers, true).expect("there is capacity");
     assert!(place.helpers.len() > 4, "{place:?}");
 }
--- a/tests/server_duties.rs
+++ b/tests/server_duties.rs
@@ -1,4 +1,5 @@
-//! Which entry probes a backend server.
+//! Which entry probes a backend server. Guards against servers that no entry or several entries
+//! probe, and against entries that probe too many.
 
 use wigeonbarrow::direct::load;
 use wigeonbarrow::direct::rendezvous;
